--- a/include/thymewall/held-packets.h
+++ b/include/thymewall/held-packets.h
@@ -16,18 +16,19 @@
 class HeldPackets {
 public:
   /// An opening that is older has been given up by its caller after 1.4 s.
-  static constexpr Micros HoldFor = std::chrono::milliseconds(1200);
+  static constexpr Micros MaxAge = std::chrono::milliseconds(1200);
   /// About what arrives at an entry host of today in that time, twice.
-  static constexpr std::size_t Bound = 2048;
+  static constexpr std::size_t MaxPackets = 2048;
 
   /// False for a packet that still can't be sent on.
-  using Taker = std::function<bool(const std::uint8_t *Data, std::size_t Size)>;
+  using SendFunction =
+      std::function<bool(const std::uint8_t *Data, std::size_t Size)>;
 
   /// Keeps a copy; the oldest goes when there are too many.
   void hold(MonoTime Now, const std::uint8_t *Data, std::size_t Size);
-  /// Gives every packet that is not too old to \p Take, oldest first, and keeps
-  /// those that it does not take.
-  void release(MonoTime Now, const Taker &Take);
+  /// Gives every packet that is not too old to \p TrySend, oldest first, and
+  /// keeps those that it does not take.
+  void release(MonoTime Now, const SendFunction &TrySend);
   std::size_t size() const { return Packets_.size(); }
 
 private:
--- a/include/thymewall/packet-balancer.h
+++ b/include/thymewall/packet-balancer.h
@@ -8,7 +8,7 @@
 ///   B.setRouting(Now, Table);
 ///   B.applyUpstreams(Now, Changes);
 ///   Verdict V = B.steer(Now, Packet);
-///   B.tick(Now); // about every `TickEvery`
+///   B.tick(Now); // about every `TickInterval`
 #ifndef THYMEWALL_PACKET_BALANCER_H
 #define THYMEWALL_PACKET_BALANCER_H
 
@@ -36,10 +36,10 @@
   Endpoint Caller_;
   Endpoint Service_;
   std::uint32_t Sequence_ = 0; ///< One that the caller accepts.
-  ErrorKind Why_ = ErrorKind::None;
+  ErrorKind Error_ = ErrorKind::None;
 };
 struct Dropped {
-  ErrorKind Why_ = ErrorKind::None;
+  ErrorKind Error_ = ErrorKind::None;
 };
 using Verdict = std::variant<Forward, ResetFlow, Dropped>;
 
@@ -50,22 +50,22 @@
     OpenMoved,   ///< A copy of the opening packet, sent to another one.
     OpenRetried, ///< The opening packet itself, unanswered, sent to another.
     Followed,    ///< First data here of a flow that another balancer opened.
-    Refused      ///< Reset or dropped; `Why_` tells.
+    Refused      ///< Reset or dropped; `Error_` tells.
   };
   Kind Kind_ = Kind::Opened;
   Endpoint Caller_;
   Endpoint Service_;
   Incarnation Upstream_{};
-  ErrorKind Why_ = ErrorKind::None;
+  ErrorKind Error_ = ErrorKind::None;
   std::uint32_t Candidates_ = 0; ///< Upstreams that could take new flows.
   Version RoutingVersion_ = 0;
-  bool Known_ = false;    ///< Anything was ever confirmed.
-  Micros KnowledgeAge_{}; ///< Since what is known was last confirmed.
+  bool HasConfirmation_ = false; ///< Anything was ever confirmed.
+  Micros KnowledgeAge_{};        ///< Since what is known was last confirmed.
 };
 using DecisionHook = std::function<void(const Decision &)>;
 
 /// A change in what is believed of an upstream; for logs.
-struct Belief {
+struct UpstreamEvent {
   enum class Kind : std::uint8_t {
     Listed,
     Restarted, ///< Under its incarnation; what was believed of it is void.
@@ -86,7 +86,7 @@
   std::size_t Evidence_ = 0;
   std::size_t Needed_ = 0;
 };
-using BeliefHook = std::function<void(const Belief &)>;
+using UpstreamEventHook = std::function<void(const UpstreamEvent &)>;
 
 /// Asks for proof that an upstream lives: a TCP connection to its address.
 struct UpstreamCheck {
@@ -131,59 +131,59 @@
 };
 
 /// An upstream as operators see it.
-struct SteeredUpstream {
+struct UpstreamStatus {
   Incarnation Incarnation_{};
   std::string DataHall_;
   ServiceId Service_{};
   UpstreamRow Row_;
   /// Why it takes no new flow now; empty when it takes them.
-  std::string_view NotChosen_;
+  std::string_view ExclusionReason_;
 };
 
 struct PacketStatus {
   Version RoutingVersion_ = 0;
-  MonoTime KnownAsOf_{};
+  MonoTime ConfirmedAsOf_{};
   std::size_t Flows_ = 0;
   std::size_t MemoryBytes_ = 0;
   std::vector<std::string> EvacuatedHalls_;
-  std::vector<SteeredUpstream> Upstreams_;
+  std::vector<UpstreamStatus> Upstreams_;
 };
 
 /// Settings of a packet balancer; the defaults suit an entry host of today.
 struct PacketBalancerOptions {
   Chooser Chooser_ = chooseTwoInProgress;
   DecisionHook OnDecision_;
-  BeliefHook OnBelief_;
+  UpstreamEventHook OnUpstreamEvent_;
   PacketDelayHook OnDelay_;
   CheckHook OnCheck_; ///< Without it no upstream is ever held to be dead.
   ResetHook OnReset_;
   WarningHook OnWarning_;
   /// An unknown address is reset only if all that was published this long ago
   /// is known; from the time within which a routing table must be in force.
-  Micros ResetWhenKnown_ = std::chrono::milliseconds(2500);
+  Micros MaxStalenessForReset_ = std::chrono::milliseconds(2500);
   /// A flow older than this may be forgotten, and so may its upstream.
-  Micros FlowLimit_ = std::chrono::seconds(60);
-  std::uint32_t FlowBound_ = 200'000;
+  Micros MaxFlowAge_ = std::chrono::seconds(60);
+  std::uint32_t MaxFlows_ = 200'000;
   /// `Over_` and `Slack_` hold for every service that publishes a limit.
   ColdLimit Cold_;
 };
 
 class PacketBalancer {
 public:
-  static constexpr Micros TickEvery = std::chrono::milliseconds(250);
+  static constexpr Micros TickInterval = std::chrono::milliseconds(250);
   /// A tick this late means that the process has not run meanwhile.
-  static constexpr Micros LateAfter = std::chrono::milliseconds(1000);
+  static constexpr Micros LateTickThreshold = std::chrono::milliseconds(1000);
   /// How long an upstream may be missing after the configuration service was
   /// away before it is gone: those that live are back within 2 s.
-  static constexpr Micros LapseLimit = std::chrono::milliseconds(2000);
+  static constexpr Micros LapseTimeout = std::chrono::milliseconds(2000);
 
   /// Changes told at once of which beliefs name each upstream: a list of
   /// thousands at a start would drop all other lines.
-  static constexpr std::size_t NamedOneByOne = 16;
+  static constexpr std::size_t MaxIndividualEvents = 16;
 
   /// The fabric leads flows to a host 0.5 to 1 s after its start; what was
   /// under way then is missed 0.6 s later, and counts for 2 s.
-  static constexpr Micros SettlesWithin = std::chrono::milliseconds(2500);
+  static constexpr Micros RerouteSettleTime = std::chrono::milliseconds(2500);
 
   explicit PacketBalancer(PacketBalancerOptions Options);
   PacketBalancer(PacketBalancer &&) noexcept;
@@ -198,7 +198,7 @@
   /// Puts a routing table in force; an older one is ignored.
   void setRouting(MonoTime Now, RoutingTablePtr Table);
   /// \p MayReturn: the configuration service was away, so upstreams that are
-  /// missing count as gone only after `LapseLimit`.
+  /// missing count as gone only after `LapseTimeout`.
   void applyUpstreams(MonoTime Now, const std::vector<UpstreamChange> &Changes,
                       bool MayReturn = false);
   /// From now on an evacuated hall gets no opening, nor a copy or a retry of
@@ -206,16 +206,16 @@
   void applyEvacuations(MonoTime Now,
                         const std::vector<EvacuationChange> &Changes);
   /// The answer to a check that began at \p Began.
-  void checked(MonoTime Now, Incarnation Upstream, CheckResult Result,
-               MonoTime Began);
+  void onCheckResult(MonoTime Now, Incarnation Upstream, CheckResult Result,
+                     MonoTime Began);
   /// A peer has evidence against an upstream. A dead one is checked here too,
   /// at the next tick. One that left a peer's request unanswered gets no new
   /// flows for a while, unless it has just answered here; while flows are moved
   /// it takes more requests than chance explains, two at least. So it does
   /// always for one whose answers are short.
-  void warned(MonoTime Now, const UpstreamWarning &M);
+  void onPeerWarning(MonoTime Now, const UpstreamWarning &M);
   /// All that was published up to \p AsOf is known.
-  void confirm(MonoTime AsOf);
+  void confirmUpTo(MonoTime AsOf);
   /// Whether the fabric is asked to send callers here. While it is not, a
   /// flow's next packet comes to another balancer, so that silence here says
   /// nothing of an upstream.
@@ -223,21 +223,21 @@
   /// How many balancers share the callers, this one among them.
   void setFleetSize(std::size_t Balancers);
   /// A balancer has come \p At, so that the fabric leads flows from others to
-  /// it: silence within `SettlesWithin` may be theirs.
-  void arrived(MonoTime At);
+  /// it: silence within `RerouteSettleTime` may be theirs.
+  void onBalancerJoined(MonoTime At);
   void tick(MonoTime Now);
   /// The fleet as it is believed to be, about at every tick: parts the limits
   /// of cold upstreams. Without it they get no flow that has a limit.
   void setFleet(FleetView View);
   /// Whether any service limits its cold upstreams, so that the fleet matters.
-  bool limitsCold() const;
+  bool hasColdLimits() const;
   /// Changes these options.
-  void setLimits(Micros ResetWhenKnown, Micros FlowLimit, double ColdOver,
-                 double ColdSlack);
+  void setLimits(Micros MaxStalenessForReset, Micros MaxFlowAge,
+                 double ColdOver, double ColdSlack);
 
   /// How long an opening may stay unanswered before it is worth a retry: what
   /// openings usually take here decides.
-  Micros openingWait() const;
+  Micros openingTimeout() const;
   /// True once a routing table and a list of upstreams are in hand.
   bool ready() const;
   const PacketCounters &counters() const;
@@ -252,13 +252,13 @@
 public:
   PacketBalancerBuilder &chooser(Chooser Value);
   PacketBalancerBuilder &onDecision(DecisionHook Value);
-  PacketBalancerBuilder &onBelief(BeliefHook Value);
+  PacketBalancerBuilder &onUpstreamEvent(UpstreamEventHook Value);
   PacketBalancerBuilder &onDelay(PacketDelayHook Value);
   PacketBalancerBuilder &onCheck(CheckHook Value);
   PacketBalancerBuilder &onReset(ResetHook Value);
   PacketBalancerBuilder &onWarning(WarningHook Value);
-  PacketBalancerBuilder &resetWhenKnown(Micros Value);
-  PacketBalancerBuilder &flowLimit(Micros Value);
+  PacketBalancerBuilder &maxStalenessForReset(Micros Value);
+  PacketBalancerBuilder &maxFlowAge(Micros Value);
   PacketBalancerBuilder &coldOver(double Times, double Slack);
   PacketBalancer build() const;
 
--- a/include/thymewall/unanswered-openings.h
+++ b/include/thymewall/unanswered-openings.h
@@ -16,39 +16,41 @@
 public:
   /// The caller's acknowledgement takes 5 to 12 ms (3 ms to callers, 2 ms
   /// between data halls), on a host five times slower about 20 ms.
-  static constexpr Micros AnswerWithin = std::chrono::milliseconds(40);
+  static constexpr Micros MinTimeout = std::chrono::milliseconds(40);
   /// Less would be no gain over the caller's own copy.
-  static constexpr Micros LongestWait = std::chrono::milliseconds(160);
+  static constexpr Micros MaxTimeout = std::chrono::milliseconds(160);
   /// The caller sends a copy itself after this long.
-  static constexpr Micros CopyAfter = std::chrono::milliseconds(200);
+  static constexpr Micros CallerRetransmitAfter =
+      std::chrono::milliseconds(200);
   /// A review this late means that this process did not run, so that answers
   /// may wait in its socket.
-  static constexpr Micros LateBy = std::chrono::milliseconds(20);
-  /// Far more than an entry host opens in `AnswerWithin`.
-  static constexpr std::size_t Bound = 1024;
+  static constexpr Micros LateThreshold = std::chrono::milliseconds(20);
+  /// Far more than an entry host opens in `MinTimeout`.
+  static constexpr std::size_t MaxPackets = 1024;
 
-  using Taker = std::function<void(const std::uint8_t *Data, std::size_t Size)>;
+  using ExpiryHandler =
+      std::function<void(const std::uint8_t *Data, std::size_t Size)>;
 
   /// How long the next openings may stay unanswered.
-  void setWait(Micros Wait) { Wait_ = Wait; }
+  void setTimeout(Micros Timeout) { Timeout_ = Timeout; }
   /// Keeps a copy of a packet that opens a flow; when there are too many, none.
   void add(MonoTime Now, const std::uint8_t *Data, std::size_t Size);
-  /// When `takeDue` should be called; the far future when nothing waits.
-  MonoTime dueAt() const;
-  /// Gives \p Take every packet whose time for an answer is over, and forgets
-  /// it. After a late review all get that time once more.
-  void takeDue(MonoTime Now, const Taker &Take);
+  /// When `takeExpired` should be called; the far future when nothing waits.
+  MonoTime nextDeadline() const;
+  /// Gives \p OnExpired every packet whose time for an answer is over, and
+  /// forgets it. After a late review all get that time once more.
+  void takeExpired(MonoTime Now, const ExpiryHandler &OnExpired);
 
 private:
-  struct Waiting {
-    MonoTime AnswerBy_;
-    MonoTime CopyAt_;
+  struct PendingOpening {
+    MonoTime Deadline_;
+    MonoTime RetransmitAt_;
     std::vector<std::uint8_t> Bytes_;
   };
-  void postpone(MonoTime Now);
+  void extendDeadlines(MonoTime Now);
 
-  std::deque<Waiting> Packets_;
-  Micros Wait_ = AnswerWithin;
+  std::deque<PendingOpening> Packets_;
+  Micros Timeout_ = MinTimeout;
 };
 
 } // namespace thymewall
--- a/src/balancer-caller.cc
+++ b/src/balancer-caller.cc
@@ -4,7 +4,7 @@
 
 namespace thymewall {
 
-using detail::has;
+using detail::isEnabled;
 using detail::Mechanism;
 
 namespace {
@@ -193,7 +193,7 @@
     ++Counters_.Steps_[static_cast<std::size_t>(Step::Route)];
     return forwardRepeatable(M, R);
   }
-  if (isHome(R) || !has(Mechanism::HomeOnly)) {
+  if (isHome(R) || !isEnabled(Mechanism::HomeOnlySubmission)) {
     ++Counters_.Steps_[static_cast<std::size_t>(Step::Home)];
     return submit(M, R);
   }
@@ -296,7 +296,7 @@
                             Bytes NewRoute) {
   ++Counters_.Errors_[static_cast<std::size_t>(Why)];
   const ErrorRow &Row = errorRow(Why);
-  bool May = Bound == Answer::NotRun || !has(Mechanism::TruthfulNotRun);
+  bool May = Bound == Answer::NotRun || !isEnabled(Mechanism::NotRunDowngrade);
   bool NotRun = May && Row.Answer_ == Answer::NotRun;
   ++(NotRun ? Counters_.NotRun_ : Counters_.OutcomeUnknown_);
   Message Out = about(M, Kind::Refused);
--- a/src/balancer-home.cc
+++ b/src/balancer-home.cc
@@ -4,7 +4,7 @@
 
 namespace thymewall {
 
-using detail::has;
+using detail::isEnabled;
 using detail::Mechanism;
 
 namespace {
@@ -96,7 +96,8 @@
 void Balancer::Impl::submit(const Message &M, const Route &R) {
   FlowRow *Row = Flows_.find({M.Service_, M.Flow_});
   bool Lost = !Row || Row->Epoch_ != R.Epoch_;
-  if (Lost && (has(Mechanism::HomeEpoch) && has(Mechanism::HomeOnly)))
+  if (Lost && (isEnabled(Mechanism::HomeEpoch) &&
+               isEnabled(Mechanism::HomeOnlySubmission)))
     return rehome(M, R, ErrorKind::NumberUsed);
   if (!Row)
     Row = becomeHome({M.Service_, M.Flow_}, holder(R));
@@ -107,7 +108,7 @@
 /// hand requests on, and only they can say what was not run.
 bool Balancer::Impl::stoppedHandingOn() const {
   return !StopBySuccessors_.Successors_.empty() &&
-         has(Mechanism::StopHandingOn);
+         isEnabled(Mechanism::DelegationOnStop);
 }
 
 void Balancer::Impl::submitToRow(FlowRow &Row, const Message &M, const Route &R,
@@ -119,7 +120,8 @@
     return refuse(M, ErrorKind::DeadlineTooFar, Answer::OutcomeUnknown);
   std::uint32_t Index = Row.Upstream_;
   bool Closed = Index == UpstreamTable::None;
-  bool Used = has(Mechanism::NumberWindow) && Row.numberUsed(M.Request_);
+  bool Used =
+      isEnabled(Mechanism::RequestNumberWindow) && Row.numberUsed(M.Request_);
   bool Replays = !Closed && Upstreams_[Index].Remembers_;
   if (Used && From == Origin::Own && stoppedHandingOn())
     return delegate(M, R, PeerKind::Repeat);
--- a/src/balancer-succession.cc
+++ b/src/balancer-succession.cc
@@ -4,7 +4,7 @@
 
 namespace thymewall {
 
-using detail::has;
+using detail::isEnabled;
 using detail::Mechanism;
 
 void Balancer::Impl::on(const StopAsked &) {
@@ -45,7 +45,8 @@
 /// it has not expired, so that our own memory of it can't have been dropped.
 bool Balancer::Impl::mayAdopt(const Message &M, const Route &R) const {
   const Succession *S = successionOf(R);
-  return S && (M.Deadline_ > S->Fence_ || !has(Mechanism::Fence)) &&
+  return S &&
+         (M.Deadline_ > S->Fence_ || !isEnabled(Mechanism::SuccessionFence)) &&
          M.Deadline_ > Now_.Wall_;
 }
 
--- a/src/balancer-upstream.cc
+++ b/src/balancer-upstream.cc
@@ -2,7 +2,7 @@
 
 namespace thymewall {
 
-using detail::has;
+using detail::isEnabled;
 using detail::Mechanism;
 
 namespace {
@@ -42,8 +42,9 @@
 RequestRow *Balancer::Impl::attemptOf(const Message &M,
                                       std::uint32_t Upstream) {
   RequestRow *Row = Requests_.find({M.Service_, M.Request_, M.Flow_});
-  bool Same = Row && !Row->Done_ &&
-              (Row->Attempt_ == M.Attempt_ || !has(Mechanism::AttemptMatch));
+  bool Same =
+      Row && !Row->Done_ &&
+      (Row->Attempt_ == M.Attempt_ || !isEnabled(Mechanism::AttemptMatch));
   if (Same && Row->Upstream_ == Upstream)
     return Row;
   drop(ErrorKind::LateAnswer);
--- a/src/balancer.cc
+++ b/src/balancer.cc
@@ -5,7 +5,7 @@
 
 namespace thymewall {
 
-using detail::has;
+using detail::isEnabled;
 using detail::Mechanism;
 
 namespace {
@@ -42,7 +42,7 @@
 /// Every event checks the clock, because the first one after a pause may be a
 /// datagram that has waited in a socket since before it.
 void Balancer::Impl::noticeLateWake() {
-  if (Now_.Mono_ < NextTickBy_ + LateAfter || !has(Mechanism::LateWake))
+  if (Now_.Mono_ < NextTickBy_ + LateAfter || !isEnabled(Mechanism::LateWake))
     return;
   NextTickBy_ = Now_.Mono_ + TickEvery;
   ++Counters_.LateWakes_;
@@ -91,7 +91,7 @@
 void Balancer::Impl::on(const DeclarationRead &E) {
   Fresh_ = Fresh_ || E.Asked_ == Asked_;
   bool Newer = !Declaration_ || supersedes(*E.Declaration_, *Declaration_);
-  if (!Newer && has(Mechanism::Monotonic))
+  if (!Newer && isEnabled(Mechanism::MonotonicVersions))
     return;
   Declaration_ = E.Declaration_;
   Upstreams_.declare(*Declaration_, Now_.Mono_);
--- a/src/held-packets.cc
+++ b/src/held-packets.cc
@@ -6,19 +6,19 @@
 
 void HeldPackets::hold(MonoTime Now, const std::uint8_t *Data,
                        std::size_t Size) {
-  if (!detail::has(detail::Mechanism::HeldPackets))
+  if (!detail::isEnabled(detail::Mechanism::HeldPackets))
     return;
   Packets_.push_back({Now, std::vector<std::uint8_t>(Data, Data + Size)});
-  while (Packets_.size() > Bound || Now - Packets_.front().At_ > HoldFor)
+  while (Packets_.size() > MaxPackets || Now - Packets_.front().At_ > MaxAge)
     Packets_.pop_front();
 }
 
-void HeldPackets::release(MonoTime Now, const Taker &Take) {
+void HeldPackets::release(MonoTime Now, const SendFunction &TrySend) {
   std::deque<Held> Packets;
   Packets.swap(Packets_);
   for (Held &Packet : Packets) {
-    bool TooOld = Now - Packet.At_ > HoldFor;
-    if (!TooOld && !Take(Packet.Bytes_.data(), Packet.Bytes_.size()))
+    bool TooOld = Now - Packet.At_ > MaxAge;
+    if (!TooOld && !TrySend(Packet.Bytes_.data(), Packet.Bytes_.size()))
       Packets_.push_back(std::move(Packet));
   }
 }
--- a/src/member-list.cc
+++ b/src/member-list.cc
@@ -55,7 +55,7 @@
 }
 
 bool MemberList::hallIsLost(MonoTime Now, const std::string &Hall) const {
-  if (Known_.size() > HeardOf || !has(Mechanism::LostHall))
+  if (Known_.size() > HeardOf || !isEnabled(Mechanism::IsolatedHallWithdrawal))
     return false;
   std::map<std::string, HallCount> Halls;
   Halls[Hall] = {1, 1};
--- a/src/news.cc
+++ b/src/news.cc
@@ -126,7 +126,7 @@
   if (startsByParts(L))
     return askForParts(Now, Which);
   bool WantsEnded = EndedAnswers_ < AskedForEnded && !L.AskedEnded_ &&
-                    detail::has(detail::Mechanism::EndedUpstreams);
+                    detail::isEnabled(detail::Mechanism::EndedUpstreams);
   if ((!Behind && !WantsEnded) || Now < AskAgainAt_)
     return;
   AskAgainAt_ = Now + AnswerWithin;
@@ -191,7 +191,7 @@
     return Item.first.Kind_ == M.Kind_;
   };
   auto Told = std::count_if(Told_.begin(), Told_.end(), SameKind);
-  if (!detail::has(detail::Mechanism::Warnings) || Repeated ||
+  if (!detail::isEnabled(detail::Mechanism::PeerWarnings) || Repeated ||
       static_cast<std::size_t>(Told) >= MaxWarnings)
     return false;
   Told_[M] = Now + WarnAgainAfter;
@@ -278,7 +278,7 @@
 }
 
 MonoTime NewsExchange::Impl::readFrom() const {
-  bool ReadsAnyway = !detail::has(detail::Mechanism::OneReader);
+  bool ReadsAnyway = !detail::isEnabled(detail::Mechanism::SingleReader);
   if (ReadsAnyway || Reading_)
     return ReadAgainFrom_;
   if (KnownAsOf_ == MonoTime{}) { // peers are about to tell
--- a/src/observed-delay.h
+++ b/src/observed-delay.h
@@ -11,21 +11,22 @@
 
 /// A mean that follows the last 16 or so: one outlier moves it by a sixteenth
 /// of its distance.
-class ObservedDelay {
+class MovingAverageDelay {
 public:
   void add(Micros Delay) {
-    Usual_ = known() ? Usual_ + (Delay - Usual_) / 16 : std::max(Delay, Unit);
+    Mean_ = hasSamples() ? Mean_ + (Delay - Mean_) / 16
+                         : std::max(Delay, SmallestDelay);
   }
-  bool known() const { return Usual_ != Micros(0); }
-  /// So many times the usual, but not less than \p Least.
-  Micros times(int Factor, Micros Least) const {
-    return std::max(Least, Usual_ * Factor);
+  bool hasSamples() const { return Mean_ != Micros(0); }
+  /// So many times the usual, but not less than \p Min.
+  Micros multiple(int Factor, Micros Min) const {
+    return std::max(Min, Mean_ * Factor);
   }
 
 private:
-  static constexpr Micros Unit{1};
+  static constexpr Micros SmallestDelay{1};
 
-  Micros Usual_{0}; ///< 0 before the first.
+  Micros Mean_{0}; ///< 0 before the first.
 };
 
 } // namespace thymewall::detail
--- a/src/opening-retries.cc
+++ b/src/opening-retries.cc
@@ -4,33 +4,33 @@
 
 namespace thymewall::detail {
 
-OpeningRetries::OpeningRetries(asio::io_context &Context, Handler OnDue)
-    : Timer_(Context), OnDue_(std::move(OnDue)) {}
+OpeningRetries::OpeningRetries(asio::io_context &Context, Handler OnExpired)
+    : Timer_(Context), OnExpired_(std::move(OnExpired)) {}
 
-void OpeningRetries::sent(MonoTime Now, const std::uint8_t *Data,
-                          std::size_t Size) {
-  bool Awaiting = Openings_.dueAt() != MonoTime::max();
+void OpeningRetries::onOpeningSent(MonoTime Now, const std::uint8_t *Data,
+                                   std::size_t Size) {
+  bool TimerArmed = Openings_.nextDeadline() != MonoTime::max();
   Openings_.add(Now, Data, Size);
-  if (!Awaiting)
-    await();
+  if (!TimerArmed)
+    scheduleTimer();
 }
 
-void OpeningRetries::await() {
-  if (Openings_.dueAt() == MonoTime::max())
+void OpeningRetries::scheduleTimer() {
+  if (Openings_.nextDeadline() == MonoTime::max())
     return;
-  Timer_.expires_at(toSteady(Openings_.dueAt()));
+  Timer_.expires_at(toSteady(Openings_.nextDeadline()));
   Timer_.async_wait([this](const asio::error_code &Error) {
     if (!Error)
-      review();
+      onTimer();
   });
 }
 
-void OpeningRetries::review() {
+void OpeningRetries::onTimer() {
   MonoTime Now = monoNow();
-  Openings_.takeDue(Now, [&](const std::uint8_t *Data, std::size_t Size) {
-    OnDue_(Now, Data, Size);
+  Openings_.takeExpired(Now, [&](const std::uint8_t *Data, std::size_t Size) {
+    OnExpired_(Now, Data, Size);
   });
-  await();
+  scheduleTimer();
 }
 
 } // namespace thymewall::detail
--- a/src/opening-retries.h
+++ b/src/opening-retries.h
@@ -17,18 +17,18 @@
   using Handler = std::function<void(MonoTime Now, const std::uint8_t *Data,
                                      std::size_t Size)>;
 
-  OpeningRetries(asio::io_context &Context, Handler OnDue);
+  OpeningRetries(asio::io_context &Context, Handler OnExpired);
 
-  void setWait(Micros Wait) { Openings_.setWait(Wait); }
+  void setTimeout(Micros Timeout) { Openings_.setTimeout(Timeout); }
   /// An opening packet was sent to an upstream.
-  void sent(MonoTime Now, const std::uint8_t *Data, std::size_t Size);
+  void onOpeningSent(MonoTime Now, const std::uint8_t *Data, std::size_t Size);
 
 private:
-  void await();
-  void review();
+  void scheduleTimer();
+  void onTimer();
 
   asio::steady_timer Timer_;
-  Handler OnDue_;
+  Handler OnExpired_;
   UnansweredOpenings Openings_;
 };
 
--- a/src/packet-balancer-evidence.cc
+++ b/src/packet-balancer-evidence.cc
@@ -6,7 +6,7 @@
 
 namespace thymewall {
 
-using detail::has;
+using detail::isEnabled;
 using detail::Mechanism;
 using detail::PacketFlowRow;
 
@@ -55,21 +55,21 @@
 } // namespace
 
 void PacketBalancer::Impl::suspect(std::uint32_t Index) {
-  if (!has(Mechanism::OpeningEjection))
+  if (!isEnabled(Mechanism::OpeningEjection))
     return;
   bool Before = Upstreams_[Index].EjectedUntil_ > Now_;
   // Flows differ enough from balancer to balancer to spread the returns.
   double Jitter = static_cast<double>(raw(Upstreams_[Index].Id_) % 1000) / 1000;
   Upstreams_.failed(Index, Now_, Jitter);
   if (!Before && Upstreams_[Index].EjectedUntil_ > Now_)
-    believe(Belief::Kind::Ejected, Index);
+    believe(UpstreamEvent::Kind::Ejected, Index);
 }
 
 /// A packet got no answer in the time after which it is sent again.
 void PacketBalancer::Impl::check(std::uint32_t Index) {
   Detail &D = Details_[Index];
-  bool Wanted =
-      Options_.OnCheck_ && !D.Draining_ && !D.Ended_ && has(Mechanism::Checks);
+  bool Wanted = Options_.OnCheck_ && !D.Draining_ && !D.Ended_ &&
+                isEnabled(Mechanism::LivenessChecks);
   if (!Wanted || D.NextCheckAt_ > Now_)
     return;
   D.NextCheckAt_ = Now_ + CheckEvery;
@@ -92,7 +92,8 @@
   }
 }
 
-void PacketBalancer::Impl::warned(MonoTime Now, const UpstreamWarning &M) {
+void PacketBalancer::Impl::onPeerWarning(MonoTime Now,
+                                         const UpstreamWarning &M) {
   Now_ = Now;
   std::uint32_t Index = indexOf(M.Upstream_);
   if (Index == UpstreamTable::None || Details_[Index].Gone_ ||
@@ -161,15 +162,15 @@
 std::optional<Micros>
 PacketBalancer::Impl::stallLimit(std::uint32_t Index) const {
   auto Of = Services_.find(raw(Details_[Index].Service_));
-  if (Of == Services_.end() || !Of->second.Answers_.known())
+  if (Of == Services_.end() || !Of->second.Answers_.hasSamples())
     return std::nullopt;
-  return Of->second.Answers_.times(StalledTimes, StalledAfter);
+  return Of->second.Answers_.multiple(StalledTimes, StalledAfter);
 }
 
 /// One request of a flow was left unanswered, here or at a peer.
 void PacketBalancer::Impl::noteUnanswered(std::uint32_t Index, FlowId Flow,
                                           bool SeenHere) {
-  if (!has(Mechanism::Stalls))
+  if (!isEnabled(Mechanism::StallEjection))
     return;
   if (Upstreams_[Index].EjectedUntil_ > Now_)
     return; // others see what led to this ejection only now
@@ -180,8 +181,8 @@
   std::size_t Needed = neededAgainst(Index, SeenHere);
   std::size_t Unanswered = Evidence_.against(Now_, Index);
   if (Unanswered >= Needed)
-    putAside(Index, Belief::Kind::Stalled, Details_[Index].Stalls_, Unanswered,
-             Needed);
+    putAside(Index, UpstreamEvent::Kind::Stalled, Details_[Index].Stalls_,
+             Unanswered, Needed);
 }
 
 /// While no balancer comes a request is evidence by itself: of a service
@@ -191,7 +192,8 @@
                                                 bool SeenHere) const {
   bool Settled = Now_ >= UnsettledUntil_;
   auto Of = Services_.find(raw(Details_[Index].Service_));
-  if (Settled || Of == Services_.end() || !has(Mechanism::CommonSilence))
+  if (Settled || Of == Services_.end() ||
+      !isEnabled(Mechanism::CorrelatedSilence))
     return 1;
   std::size_t Needed = Evidence_.needed(Now_, Index, Of->second.Members_);
   return SeenHere ? Needed : std::max(Needed, NeededOfPeers);
@@ -200,7 +202,7 @@
 /// The caller has acknowledged an answer to the request of \p Row.
 void PacketBalancer::Impl::judgeAnswer(const PacketFlowRow &Row,
                                        const Packet &P) {
-  if (!has(Mechanism::AnswerSizes))
+  if (!isEnabled(Mechanism::ShortAnswerEjection))
     return;
   Services_[raw(Details_[Row.Upstream_].Service_)].RecentAnswers_.add();
   std::uint32_t Bytes = P.Acknowledged_ - Row.Acknowledged_;
@@ -232,7 +234,8 @@
                                   FailingShare * usualAnswers(Of->second))));
   std::size_t Evidence = ShortAnswers_.against(Now_, Index);
   if (Evidence >= Needed)
-    putAside(Index, Belief::Kind::Failing, D.Failings_, Evidence, Needed);
+    putAside(Index, UpstreamEvent::Kind::Failing, D.Failings_, Evidence,
+             Needed);
 }
 
 /// How many answers the whole fleet has of one upstream of a service in
@@ -244,29 +247,32 @@
 }
 
 /// A soft judgement: other upstreams take the new flows, nothing is reset.
-void PacketBalancer::Impl::putAside(std::uint32_t Index, Belief::Kind Why,
+void PacketBalancer::Impl::putAside(std::uint32_t Index,
+                                    UpstreamEvent::Kind Why,
                                     std::uint32_t &InARow, std::size_t Evidence,
                                     std::size_t Needed) {
   Detail &D = Details_[Index];
   std::uint32_t Times = std::min(LongestStall, 1U << std::min(InARow, 8U));
   ++InARow;
-  ++(Why == Belief::Kind::Stalled ? Counters_.Stalled_ : Counters_.Failing_);
+  ++(Why == UpstreamEvent::Kind::Stalled ? Counters_.Stalled_
+                                         : Counters_.Failing_);
   Upstreams_.eject(Index, Now_ + StallEjection * Times);
   // Else every balancer of a fleet gives it flows again in one moment, and an
   // upstream that still hangs costs as many requests as at first. Gain: 2,028
   // lost requests in place of 2,210 where a fifth of 480 hangs for 7 s, twice.
-  if (has(Mechanism::GradualReturn))
+  if (isEnabled(Mechanism::SlowStartAfterStall))
     Upstreams_.warmFrom(Index, Upstreams_[Index].EjectedUntil_);
-  if (Options_.OnBelief_)
-    Options_.OnBelief_({Why, Upstreams_[Index].Incarnation_,
-                        Upstreams_[Index].At_, D.Revision_, Evidence, Needed});
+  if (Options_.OnUpstreamEvent_)
+    Options_.OnUpstreamEvent_({Why, Upstreams_[Index].Incarnation_,
+                               Upstreams_[Index].At_, D.Revision_, Evidence,
+                               Needed});
 }
 
 void PacketBalancer::Impl::setAlive(std::uint32_t Index) {
   if (Details_[Index].Ended_)
     return; // the other upstream at its address answered
   Upstreams_.setDead(Index, false);
-  believe(Belief::Kind::Checked, Index);
+  believe(UpstreamEvent::Kind::Checked, Index);
 }
 
 void PacketBalancer::Impl::setDead(std::uint32_t Index) {
@@ -275,14 +281,14 @@
     Upstreams_.setDead(Index, true);
     Details_[Index].Rechecks_ = 0;
     Details_[Index].RecheckAt_ = Now_ + recheckPause(0);
-    believe(Belief::Kind::Dead, Index);
+    believe(UpstreamEvent::Kind::Dead, Index);
     warn(Index, UpstreamWarning::Kind::Dead, FlowId{});
   }
   giveUpFlows(Index);
 }
 
-void PacketBalancer::Impl::checked(MonoTime Now, Incarnation Upstream,
-                                   CheckResult Result, MonoTime Began) {
+void PacketBalancer::Impl::onCheckResult(MonoTime Now, Incarnation Upstream,
+                                         CheckResult Result, MonoTime Began) {
   Now_ = Now;
   std::uint32_t Index = indexOf(Upstream);
   bool OfThisStart =
--- a/src/packet-balancer-flows.cc
+++ b/src/packet-balancer-flows.cc
@@ -6,7 +6,7 @@
 
 std::uint32_t PacketBalancer::Impl::dueTick(Micros After) const {
   return static_cast<std::uint32_t>((Now_.time_since_epoch() + After) /
-                                    TickEvery);
+                                    TickInterval);
 }
 
 /// A row for a flow that goes to an upstream from now on; null when the table
@@ -21,7 +21,7 @@
   Fresh.Caller_ = P.Caller_;
   Fresh.Service_ = P.Service_;
   if (!Row)
-    Row = Flows_.insert(Fresh, dueTick(Options_.FlowLimit_));
+    Row = Flows_.insert(Fresh, dueTick(Options_.MaxFlowAge_));
   if (!Row)
     return nullptr;
   Row->Upstream_ = Index;
--- a/src/packet-balancer-impl.h
+++ b/src/packet-balancer-impl.h
@@ -45,31 +45,33 @@
                       bool MayReturn);
   void applyEvacuations(MonoTime Now,
                         const std::vector<EvacuationChange> &Changes);
-  void checked(MonoTime Now, Incarnation Upstream, CheckResult Result,
-               MonoTime Began);
-  void warned(MonoTime Now, const UpstreamWarning &M);
-  void confirm(MonoTime AsOf) { KnownAsOf_ = std::max(KnownAsOf_, AsOf); }
+  void onCheckResult(MonoTime Now, Incarnation Upstream, CheckResult Result,
+                     MonoTime Began);
+  void onPeerWarning(MonoTime Now, const UpstreamWarning &M);
+  void confirmUpTo(MonoTime AsOf) {
+    ConfirmedAsOf_ = std::max(ConfirmedAsOf_, AsOf);
+  }
   void setServing(bool Serving) { Serving_ = Serving; }
   void setFleetSize(std::size_t Balancers) { FleetSize_ = Balancers; }
-  void arrived(MonoTime At) {
-    UnsettledUntil_ = std::max(UnsettledUntil_, At + SettlesWithin);
+  void onBalancerJoined(MonoTime At) {
+    UnsettledUntil_ = std::max(UnsettledUntil_, At + RerouteSettleTime);
   }
   void tick(MonoTime Now);
   void setFleet(FleetView View) { Cold_.setFleet(std::move(View)); }
-  bool limitsCold() const {
+  bool hasColdLimits() const {
     return Routing_ && !Routing_->ColdPerSecond_.empty();
   }
-  void setLimits(Micros ResetWhenKnown, Micros FlowLimit, double ColdOver,
-                 double ColdSlack) {
-    Options_.ResetWhenKnown_ = ResetWhenKnown;
-    Options_.FlowLimit_ = FlowLimit;
+  void setLimits(Micros MaxStalenessForReset, Micros MaxFlowAge,
+                 double ColdOver, double ColdSlack) {
+    Options_.MaxStalenessForReset_ = MaxStalenessForReset;
+    Options_.MaxFlowAge_ = MaxFlowAge;
     Options_.Cold_.Over_ = ColdOver;
     Options_.Cold_.Slack_ = ColdSlack;
   }
   bool ready() const { return Routing_ && ListKnown_; }
   const PacketCounters &counters() const { return Counters_; }
   PacketStatus status(MonoTime Now) const;
-  Micros openingWait() const;
+  Micros openingTimeout() const;
 
 private:
   struct WaitingRequest {
@@ -111,8 +113,9 @@
     /// of them is warm.
     std::vector<std::uint32_t> Cold_;
     MonoTime WarmAt_ = MonoTime::max();
-    Version Routing_ = 0;           ///< Whose limits were applied.
-    detail::ObservedDelay Answers_; ///< From request to acknowledged answer.
+    Version Routing_ = 0; ///< Whose limits were applied.
+    detail::MovingAverageDelay
+        Answers_; ///< From request to acknowledged answer.
     detail::RecentCount RecentAnswers_;
     std::uint64_t Generation_ = 0;
   };
@@ -163,8 +166,9 @@
   void noteFailing(std::uint32_t Index, FlowId Flow, bool SeenHere);
   void noteUnanswered(std::uint32_t Index, FlowId Flow, bool SeenHere);
   std::size_t neededAgainst(std::uint32_t Index, bool SeenHere) const;
-  void putAside(std::uint32_t Index, Belief::Kind Why, std::uint32_t &InARow,
-                std::size_t Evidence, std::size_t Needed);
+  void putAside(std::uint32_t Index, UpstreamEvent::Kind Why,
+                std::uint32_t &InARow, std::size_t Evidence,
+                std::size_t Needed);
   std::uint32_t indexOf(Incarnation Which) const;
   void setAlive(std::uint32_t Index);
   void setDead(std::uint32_t Index);
@@ -177,7 +181,7 @@
   void setEnded(std::uint32_t Index);
   void forgetBeliefs();
   void giveUpFlows(std::uint32_t Index);
-  void believe(Belief::Kind Kind, std::uint32_t Index) const;
+  void believe(UpstreamEvent::Kind Kind, std::uint32_t Index) const;
   void decide(Decision::Kind Kind, const Packet &P, std::uint32_t Index,
               ErrorKind Why, std::size_t Candidates) const;
   void joinService(std::uint32_t Index, ServiceId Service);
@@ -199,7 +203,7 @@
       AtAddress_;
   detail::PacketFlowTable Flows_;
   MonoTime Now_{};
-  MonoTime KnownAsOf_{};
+  MonoTime ConfirmedAsOf_{};
   MonoTime UnsettledUntil_{}; ///< The fabric may be moving flows.
   MonoTime NextTickBy_ = MonoTime::max();
   bool ListKnown_ = false;
@@ -209,7 +213,8 @@
   SilenceEvidence ShortAnswers_;
   AnswerSizes Sizes_;
   std::size_t FleetSize_ = 1;
-  detail::ObservedDelay Openings_; ///< From opening to acknowledged answer.
+  detail::MovingAverageDelay
+      Openings_; ///< From opening to acknowledged answer.
 };
 
 } // namespace thymewall
--- a/src/packet-balancer-upstreams.cc
+++ b/src/packet-balancer-upstreams.cc
@@ -11,7 +11,7 @@
     MonoTime Now, const std::vector<UpstreamChange> &Changes, bool MayReturn) {
   Now_ = Now;
   ListKnown_ = true;
-  InBulk_ = Changes.size() > NamedOneByOne;
+  InBulk_ = Changes.size() > MaxIndividualEvents;
   for (const UpstreamChange &Change : Changes) {
     if (Change.Ended_)
       putEnded(Change);
@@ -62,11 +62,11 @@
     D.RecheckAt_ = Now_;
   joinAddress(Index);
   if (Restarted)
-    believe(Belief::Kind::Restarted, Index);
+    believe(UpstreamEvent::Kind::Restarted, Index);
   else if (Fresh || Returned)
-    believe(Belief::Kind::Listed, Index);
+    believe(UpstreamEvent::Kind::Listed, Index);
   if (NewlyDraining)
-    believe(Belief::Kind::Draining, Index);
+    believe(UpstreamEvent::Kind::Draining, Index);
 }
 
 void PacketBalancer::Impl::applyEvacuations(
@@ -154,8 +154,8 @@
   if (!MayReturn)
     return setGone(Index);
   D.Lapsed_ = true;
-  D.LapsedUntil_ = Now_ + LapseLimit;
-  believe(Belief::Kind::Lapsed, Index);
+  D.LapsedUntil_ = Now_ + LapseTimeout;
+  believe(UpstreamEvent::Kind::Lapsed, Index);
 }
 
 void PacketBalancer::Impl::setGone(std::uint32_t Index) {
@@ -163,9 +163,9 @@
   D.Lapsed_ = false;
   D.Gone_ = true;
   // Its flows are still sent to it: it may live on for a while.
-  D.ForgetAt_ = Now_ + Options_.FlowLimit_;
+  D.ForgetAt_ = Now_ + Options_.MaxFlowAge_;
   Upstreams_.withdraw(Index);
-  believe(Belief::Kind::Gone, Index);
+  believe(UpstreamEvent::Kind::Gone, Index);
   settleAddress(Upstreams_[Index].At_);
 }
 
@@ -193,13 +193,13 @@
   D = Detail{};
 }
 
-void PacketBalancer::Impl::believe(Belief::Kind Kind,
+void PacketBalancer::Impl::believe(UpstreamEvent::Kind Kind,
                                    std::uint32_t Index) const {
-  bool Named = !InBulk_ || Kind == Belief::Kind::Dead;
-  if (!Options_.OnBelief_ || !Named)
+  bool Named = !InBulk_ || Kind == UpstreamEvent::Kind::Dead;
+  if (!Options_.OnUpstreamEvent_ || !Named)
     return;
   const UpstreamRow &Up = Upstreams_.rows()[Index];
-  Options_.OnBelief_(
+  Options_.OnUpstreamEvent_(
       {Kind, Up.Incarnation_, Up.At_, Details_[Index].Revision_, 0, 0});
 }
 
@@ -222,7 +222,7 @@
 PacketStatus PacketBalancer::Impl::status(MonoTime Now) const {
   PacketStatus S;
   S.RoutingVersion_ = Routing_ ? Routing_->Version_ : 0;
-  S.KnownAsOf_ = KnownAsOf_;
+  S.ConfirmedAsOf_ = ConfirmedAsOf_;
   S.Flows_ = Flows_.size();
   S.MemoryBytes_ = Flows_.memory();
   S.EvacuatedHalls_.assign(EvacuatedHalls_.begin(), EvacuatedHalls_.end());
--- a/src/packet-balancer.cc
+++ b/src/packet-balancer.cc
@@ -26,7 +26,7 @@
 
 PacketBalancer::Impl::Impl(PacketBalancerOptions Options)
     : Options_(std::move(Options)), Upstreams_(detail::UnansweredToEject),
-      Flows_(Options_.FlowBound_) {}
+      Flows_(Options_.MaxFlows_) {}
 
 Verdict PacketBalancer::Impl::steer(MonoTime Now, const Packet &P) {
   Now_ = Now;
@@ -62,7 +62,7 @@
   PacketFlowRow *Row = Flows_.find(Flow);
   if (Row && Copy > 0 && !Row->Open_) {
     Before = Row->Upstream_;
-    if (Now_ - Row->Since_ >= openingWait())
+    if (Now_ - Row->Since_ >= openingTimeout())
       noteSilence(Before);
   }
   ServiceId Service = drawService(Shares, Flow);
@@ -77,8 +77,8 @@
 
 /// Whether what is known is recent enough to refuse a caller by it.
 bool PacketBalancer::Impl::fresh() const {
-  return Now_ - KnownAsOf_ < Options_.ResetWhenKnown_ ||
-         !detail::has(detail::Mechanism::KnowledgeAge);
+  return Now_ - ConfirmedAsOf_ < Options_.MaxStalenessForReset_ ||
+         !detail::isEnabled(detail::Mechanism::StalenessLimit);
 }
 
 /// Where an evacuation or the limit of cold upstreams is why nobody takes a
@@ -105,7 +105,7 @@
   const std::vector<ServiceShare> *Shares =
       Routing_ ? Routing_->find(P.Service_) : nullptr;
   const PacketFlowRow *Row = Flows_.find(Flow);
-  bool Retries = detail::has(detail::Mechanism::OpeningRetries);
+  bool Retries = detail::isEnabled(detail::Mechanism::OpeningRetries);
   if (!Retries || !Shares || !Row || Row->Open_)
     return Dropped{};
   std::uint32_t Before = Row->Upstream_;
@@ -178,7 +178,7 @@
 
 ColdLimit PacketBalancer::Impl::coldLimit(ServiceId Service) const {
   ColdLimit Limit = Options_.Cold_;
-  bool Limits = detail::has(detail::Mechanism::ColdLimits);
+  bool Limits = detail::isEnabled(detail::Mechanism::ColdLimits);
   Limit.PerSecond_ = Limits ? Routing_->coldPerSecond(Service) : 0;
   return Limit;
 }
@@ -254,20 +254,20 @@
 /// Three times the usual, so that callers far away don't cost two connections
 /// for each flow: on a calm day with 40 ms to callers a constant 40 ms makes
 /// 1937 retries, this makes 77.
-Micros PacketBalancer::Impl::openingWait() const {
+Micros PacketBalancer::Impl::openingTimeout() const {
   constexpr int Times = 3;
-  return std::min(Openings_.times(Times, UnansweredOpenings::AnswerWithin),
-                  UnansweredOpenings::LongestWait);
+  return std::min(Openings_.multiple(Times, UnansweredOpenings::MinTimeout),
+                  UnansweredOpenings::MaxTimeout);
 }
 
 void PacketBalancer::Impl::tick(MonoTime Now) {
   Now_ = Now;
   if (Now > NextTickBy_) {
     ++Counters_.LateWakes_;
-    KnownAsOf_ = MonoTime{}; // whatever was known may be over
+    ConfirmedAsOf_ = MonoTime{}; // whatever was known may be over
     forgetBeliefs();
   }
-  NextTickBy_ = Now + TickEvery + LateAfter;
+  NextTickBy_ = Now + TickInterval + LateTickThreshold;
   Flows_.expire(dueTick(Micros(0)),
                 [this](const PacketFlowRow &Row) { countOut(Row); });
   expireUpstreams();
@@ -286,11 +286,11 @@
   D.Service_ = P.Service_;
   if (Index != UpstreamTable::None)
     D.Upstream_ = Upstreams_.rows()[Index].Incarnation_;
-  D.Why_ = Why;
+  D.Error_ = Why;
   D.Candidates_ = static_cast<std::uint32_t>(Candidates);
   D.RoutingVersion_ = Routing_ ? Routing_->Version_ : 0;
-  D.Known_ = KnownAsOf_ != MonoTime{};
-  D.KnowledgeAge_ = Now_ - KnownAsOf_;
+  D.HasConfirmation_ = ConfirmedAsOf_ != MonoTime{};
+  D.KnowledgeAge_ = Now_ - ConfirmedAsOf_;
   Options_.OnDecision_(D);
 }
 
@@ -317,29 +317,33 @@
     MonoTime Now, const std::vector<EvacuationChange> &Changes) {
   Impl_->applyEvacuations(Now, Changes);
 }
-void PacketBalancer::checked(MonoTime Now, Incarnation Upstream,
-                             CheckResult Result, MonoTime Began) {
-  Impl_->checked(Now, Upstream, Result, Began);
+void PacketBalancer::onCheckResult(MonoTime Now, Incarnation Upstream,
+                                   CheckResult Result, MonoTime Began) {
+  Impl_->onCheckResult(Now, Upstream, Result, Began);
 }
-void PacketBalancer::warned(MonoTime Now, const UpstreamWarning &M) {
-  Impl_->warned(Now, M);
+void PacketBalancer::onPeerWarning(MonoTime Now, const UpstreamWarning &M) {
+  Impl_->onPeerWarning(Now, M);
 }
-void PacketBalancer::confirm(MonoTime AsOf) { Impl_->confirm(AsOf); }
+void PacketBalancer::confirmUpTo(MonoTime AsOf) { Impl_->confirmUpTo(AsOf); }
 void PacketBalancer::setServing(bool Serving) { Impl_->setServing(Serving); }
 void PacketBalancer::setFleetSize(std::size_t Balancers) {
   Impl_->setFleetSize(Balancers);
 }
-void PacketBalancer::arrived(MonoTime At) { Impl_->arrived(At); }
+void PacketBalancer::onBalancerJoined(MonoTime At) {
+  Impl_->onBalancerJoined(At);
+}
 void PacketBalancer::tick(MonoTime Now) { Impl_->tick(Now); }
 void PacketBalancer::setFleet(FleetView View) {
   Impl_->setFleet(std::move(View));
 }
-bool PacketBalancer::limitsCold() const { return Impl_->limitsCold(); }
-void PacketBalancer::setLimits(Micros ResetWhenKnown, Micros FlowLimit,
+bool PacketBalancer::hasColdLimits() const { return Impl_->hasColdLimits(); }
+void PacketBalancer::setLimits(Micros MaxStalenessForReset, Micros MaxFlowAge,
                                double ColdOver, double ColdSlack) {
-  Impl_->setLimits(ResetWhenKnown, FlowLimit, ColdOver, ColdSlack);
+  Impl_->setLimits(MaxStalenessForReset, MaxFlowAge, ColdOver, ColdSlack);
+}
+Micros PacketBalancer::openingTimeout() const {
+  return Impl_->openingTimeout();
 }
-Micros PacketBalancer::openingWait() const { return Impl_->openingWait(); }
 bool PacketBalancer::ready() const { return Impl_->ready(); }
 const PacketCounters &PacketBalancer::counters() const {
   return Impl_->counters();
@@ -356,16 +360,18 @@
   Options_.OnDecision_ = std::move(Value);
   return *this;
 }
-PacketBalancerBuilder &PacketBalancerBuilder::onBelief(BeliefHook Value) {
-  Options_.OnBelief_ = std::move(Value);
+PacketBalancerBuilder &
+PacketBalancerBuilder::onUpstreamEvent(UpstreamEventHook Value) {
+  Options_.OnUpstreamEvent_ = std::move(Value);
   return *this;
 }
-PacketBalancerBuilder &PacketBalancerBuilder::resetWhenKnown(Micros Value) {
-  Options_.ResetWhenKnown_ = Value;
+PacketBalancerBuilder &
+PacketBalancerBuilder::maxStalenessForReset(Micros Value) {
+  Options_.MaxStalenessForReset_ = Value;
   return *this;
 }
-PacketBalancerBuilder &PacketBalancerBuilder::flowLimit(Micros Value) {
-  Options_.FlowLimit_ = Value;
+PacketBalancerBuilder &PacketBalancerBuilder::maxFlowAge(Micros Value) {
+  Options_.MaxFlowAge_ = Value;
   return *this;
 }
 PacketBalancerBuilder &PacketBalancerBuilder::onDelay(PacketDelayHook Value) {
--- a/src/packet-log.cc
+++ b/src/packet-log.cc
@@ -23,27 +23,27 @@
   return "";
 }
 
-const char *eventOf(Belief::Kind Kind) {
+const char *eventOf(UpstreamEvent::Kind Kind) {
   switch (Kind) {
-  case Belief::Kind::Listed:
+  case UpstreamEvent::Kind::Listed:
     return "upstream_listed";
-  case Belief::Kind::Restarted:
+  case UpstreamEvent::Kind::Restarted:
     return "upstream_restarted";
-  case Belief::Kind::Draining:
+  case UpstreamEvent::Kind::Draining:
     return "upstream_draining";
-  case Belief::Kind::Lapsed:
+  case UpstreamEvent::Kind::Lapsed:
     return "upstream_lapsed";
-  case Belief::Kind::Gone:
+  case UpstreamEvent::Kind::Gone:
     return "upstream_gone";
-  case Belief::Kind::Ejected:
+  case UpstreamEvent::Kind::Ejected:
     return "upstream_ejected";
-  case Belief::Kind::Stalled:
+  case UpstreamEvent::Kind::Stalled:
     return "upstream_stalled";
-  case Belief::Kind::Failing:
+  case UpstreamEvent::Kind::Failing:
     return "upstream_failing";
-  case Belief::Kind::Checked:
+  case UpstreamEvent::Kind::Checked:
     return "upstream_checked";
-  case Belief::Kind::Dead:
+  case UpstreamEvent::Kind::Dead:
     return "upstream_dead";
   }
   return "";
@@ -80,7 +80,7 @@
   LogFields Fields = {{"caller", formatEndpoint(D.Caller_)},
                       {"address", formatEndpoint(D.Service_)}};
   if (D.Kind_ == Decision::Kind::Refused) {
-    const ErrorRow &Row = errorRow(D.Why_);
+    const ErrorRow &Row = errorRow(D.Error_);
     Fields.emplace_back("reason", Row.Name_);
     Fields.emplace_back("answer",
                         Row.Answer_ == Answer::Reset ? "reset" : "none");
@@ -90,20 +90,21 @@
   if (D.Candidates_ != 0)
     Fields.emplace_back("candidates", D.Candidates_);
   Fields.emplace_back("routing_version", D.RoutingVersion_);
-  if (D.Known_)
+  if (D.HasConfirmation_)
     Fields.emplace_back("knowledge_age_ms", millis(D.KnowledgeAge_));
   logDecision(eventOf(D.Kind_), Fields);
 }
 
-void logBelief(const Belief &B) {
+void logBelief(const UpstreamEvent &B) {
   LogFields Fields = {{"upstream", formatIncarnation(B.Upstream_)},
                       {"address", formatEndpoint(B.At_)},
                       {"revision", B.Revision_}};
-  bool Judged =
-      B.Kind_ == Belief::Kind::Stalled || B.Kind_ == Belief::Kind::Failing;
+  bool Judged = B.Kind_ == UpstreamEvent::Kind::Stalled ||
+                B.Kind_ == UpstreamEvent::Kind::Failing;
   if (Judged) {
-    Fields.emplace_back(B.Kind_ == Belief::Kind::Stalled ? "unanswered"
-                                                         : "short_answers",
+    Fields.emplace_back(B.Kind_ == UpstreamEvent::Kind::Stalled
+                            ? "unanswered"
+                            : "short_answers",
                         B.Evidence_);
     Fields.emplace_back("needed", B.Needed_);
   }
@@ -113,7 +114,7 @@
 void logReset(const ResetFlow &R) {
   logDecision("flow_reset", {{"caller", formatEndpoint(R.Caller_)},
                              {"address", formatEndpoint(R.Service_)},
-                             {"reason", errorRow(R.Why_).Name_}});
+                             {"reason", errorRow(R.Error_).Name_}});
 }
 
 void logEvacuation(const EvacuationChange &Change) {
--- a/src/packet-log.h
+++ b/src/packet-log.h
@@ -13,7 +13,7 @@
 std::string formatIncarnation(Incarnation Which);
 
 void logDecisionOn(const Decision &D);
-void logBelief(const Belief &B);
+void logBelief(const UpstreamEvent &B);
 void logReset(const ResetFlow &R);
 void logEvacuation(const EvacuationChange &Change);
 /// Many changes of the list at once: their numbers in place of a line each.
--- a/src/packet-pages.cc
+++ b/src/packet-pages.cc
@@ -65,9 +65,9 @@
 
 /// Age of what is known, in milliseconds; -1 when nothing is.
 std::int64_t knowledgeAgeMs(const PacketReport &R) {
-  if (R.Status_.KnownAsOf_ == MonoTime{})
+  if (R.Status_.ConfirmedAsOf_ == MonoTime{})
     return -1;
-  return (R.Now_ - R.Status_.KnownAsOf_).count() / 1000;
+  return (R.Now_ - R.Status_.ConfirmedAsOf_).count() / 1000;
 }
 
 std::string metricsText(const PacketReport &R) {
@@ -80,7 +80,7 @@
   return Text + R.Delays_->prometheus("thymewall_delay_seconds");
 }
 
-Json upstreamJson(const PacketReport &R, const SteeredUpstream &U) {
+Json upstreamJson(const PacketReport &R, const UpstreamStatus &U) {
   std::string Service = R.Routing_ ? R.Routing_->nameOf(U.Service_)
                                    : std::to_string(raw(U.Service_));
   return {{"name", formatIncarnation(U.Incarnation_)},
@@ -90,8 +90,8 @@
           {"slots", U.Row_.Slots_},
           {"own_flows", U.Row_.OwnFlows_},
           {"in_flight", U.Row_.InFlight_},
-          {"chosen", U.NotChosen_.empty()},
-          {"why_not", U.NotChosen_}};
+          {"chosen", U.ExclusionReason_.empty()},
+          {"why_not", U.ExclusionReason_}};
 }
 
 Json addressesJson(const RoutingTable &Table) {
@@ -108,7 +108,7 @@
 
 std::string statusText(const PacketReport &R) {
   Json Upstreams = Json::array();
-  for (const SteeredUpstream &U : R.Status_.Upstreams_)
+  for (const UpstreamStatus &U : R.Status_.Upstreams_)
     Upstreams.push_back(upstreamJson(R, U));
   Json Peers = Json::array();
   for (const PeerStatus &P : R.Peers_)
--- a/src/packet-process-news.cc
+++ b/src/packet-process-news.cc
@@ -57,7 +57,7 @@
   CheckerHooks Hooks;
   Hooks.OnResult_ = [this](Incarnation Upstream, CheckResult Result,
                            MonoTime Began) {
-    Core_.checked(monoNow(), Upstream, Result, Began);
+    Core_.onCheckResult(monoNow(), Upstream, Result, Began);
   };
   Hooks.AskPeers_ = [this] { return askPeers(); };
   Hooks.PeersAnswered_ = [this](MonoTime AskedAt) {
@@ -122,7 +122,7 @@
   };
   Hooks.OnUpstreams_ = [this](const std::vector<UpstreamChange> &Changes,
                               bool MayReturn) {
-    if (Changes.size() > PacketBalancer::NamedOneByOne)
+    if (Changes.size() > PacketBalancer::MaxIndividualEvents)
       logUpstreams(Changes, News_.through());
     Core_.applyUpstreams(monoNow(), Changes, MayReturn);
     if (ReadyTold_)
@@ -133,12 +133,12 @@
     std::for_each(Changes.begin(), Changes.end(), logEvacuation);
   };
   Hooks.OnWarning_ = [this](const UpstreamWarning &M) {
-    Core_.warned(monoNow(), M);
+    Core_.onPeerWarning(monoNow(), M);
   };
-  Hooks.OnArrival_ = [this](MonoTime At) { Core_.arrived(At); };
+  Hooks.OnArrival_ = [this](MonoTime At) { Core_.onBalancerJoined(At); };
   Hooks.OnConfirmed_ = [this](MonoTime AsOf) {
     noteCurrent();
-    Core_.confirm(AsOf);
+    Core_.confirmUpTo(AsOf);
     ServiceLog_.confirmed(AsOf);
   };
   return Hooks;
--- a/src/packet-process.cc
+++ b/src/packet-process.cc
@@ -38,11 +38,11 @@
                         CheckHook OnCheck, ResetHook OnReset,
                         WarningHook OnWarning) {
   return PacketBalancerBuilder()
-      .resetWhenKnown(resetWhenKnown(S))
-      .flowLimit(S.FlowLimit_)
+      .maxStalenessForReset(resetWhenKnown(S))
+      .maxFlowAge(S.FlowLimit_)
       .coldOver(S.ColdOver_, S.ColdSlack_)
       .onDecision(logDecisionOn)
-      .onBelief(logBelief)
+      .onUpstreamEvent(logBelief)
       .onDelay(std::move(OnDelay))
       .onCheck(std::move(OnCheck))
       .onReset(std::move(OnReset))
@@ -84,7 +84,7 @@
       Timer_(Context), Signals_(Context, SIGTERM, SIGINT, SIGHUP) {
   NextSettingsLook_ = monoNow() + SettingsLookEvery;
   PeersBy_ = monoNow() + FirstPeerWithin;
-  Core_.arrived(monoNow()); // others may come with it
+  Core_.onBalancerJoined(monoNow()); // others may come with it
   awaitSignal();
   serveMetrics();
   logState("started", {{"packets", formatEndpoint(Settings_.Packets_)},
@@ -109,10 +109,10 @@
   Verdict V = Core_.steer(Now, P);
   std::visit([&](const auto &Typed) { act(Typed, Data, Size); }, V);
   if (const auto *D = std::get_if<Dropped>(&V))
-    return !mayPass(D->Why_);
+    return !mayPass(D->Error_);
   bool FirstOpening = P.Opens_ && P.Acknowledged_ == 0;
   if (FirstOpening && std::holds_alternative<Forward>(V))
-    Openings_.sent(Now, Data, Size);
+    Openings_.onOpeningSent(Now, Data, Size);
   return true;
 }
 
@@ -145,7 +145,7 @@
 }
 
 void PacketProcess::Impl::sendReset(const ResetFlow &R) {
-  if (R.Why_ == ErrorKind::UpstreamDead)
+  if (R.Error_ == ErrorKind::UpstreamDead)
     logReset(R);
   std::uint8_t Buffer[MaxPacket];
   std::size_t Length = Hooks_.EncodeReset_(R, Buffer);
@@ -164,14 +164,14 @@
     noteHall(Now);
     Core_.setServing(ready());
     Core_.setFleetSize(News_.fleetSize());
-    if (Core_.limitsCold())
+    if (Core_.hasColdLimits())
       Core_.setFleet(News_.fleetView(Now));
     Core_.tick(Now);
-    Openings_.setWait(Core_.openingWait());
+    Openings_.setTimeout(Core_.openingTimeout());
     endWhenQuiet(Now);
     lookAtSettings(Now);
     flushLog();
-    NextTick_ = Now + PacketBalancer::TickEvery;
+    NextTick_ = Now + PacketBalancer::TickInterval;
   }
   noteReady();
   if (Now >= PeersBy_ && News_.fleetSize() == 1)
--- a/src/route.cc
+++ b/src/route.cc
@@ -98,7 +98,7 @@
     makeTag(Sealed.Data_, Service, Flow, Secret, Tag);
     Known = Known || sodium_memcmp(Tag, Sealed.Data_ + BodySize, TagSize) == 0;
   }
-  if (!Known && detail::has(detail::Mechanism::RouteTag))
+  if (!Known && detail::isEnabled(detail::Mechanism::RouteTag))
     return ErrorKind::ForgedRoute;
   Cursor<const std::uint8_t> C(Sealed.Data_);
   C.get<std::uint8_t>();
--- a/src/unanswered-openings.cc
+++ b/src/unanswered-openings.cc
@@ -4,32 +4,33 @@
 
 void UnansweredOpenings::add(MonoTime Now, const std::uint8_t *Data,
                              std::size_t Size) {
-  if (Packets_.size() < Bound)
-    Packets_.push_back({Now + Wait_, Now + CopyAfter,
+  if (Packets_.size() < MaxPackets)
+    Packets_.push_back({Now + Timeout_, Now + CallerRetransmitAfter,
                         std::vector<std::uint8_t>(Data, Data + Size)});
 }
 
-MonoTime UnansweredOpenings::dueAt() const {
-  return Packets_.empty() ? MonoTime::max() : Packets_.front().AnswerBy_;
+MonoTime UnansweredOpenings::nextDeadline() const {
+  return Packets_.empty() ? MonoTime::max() : Packets_.front().Deadline_;
 }
 
-void UnansweredOpenings::takeDue(MonoTime Now, const Taker &Take) {
-  if (!Packets_.empty() && Now - dueAt() > LateBy)
-    return postpone(Now);
-  while (dueAt() <= Now) {
-    Waiting Due = std::move(Packets_.front());
+void UnansweredOpenings::takeExpired(MonoTime Now,
+                                     const ExpiryHandler &OnExpired) {
+  if (!Packets_.empty() && Now - nextDeadline() > LateThreshold)
+    return extendDeadlines(Now);
+  while (nextDeadline() <= Now) {
+    PendingOpening Expired = std::move(Packets_.front());
     Packets_.pop_front();
-    Take(Due.Bytes_.data(), Due.Bytes_.size());
+    OnExpired(Expired.Bytes_.data(), Expired.Bytes_.size());
   }
 }
 
-void UnansweredOpenings::postpone(MonoTime Now) {
-  std::deque<Waiting> All;
+void UnansweredOpenings::extendDeadlines(MonoTime Now) {
+  std::deque<PendingOpening> All;
   All.swap(Packets_);
-  for (Waiting &W : All) {
-    W.AnswerBy_ = Now + Wait_;
-    if (W.AnswerBy_ < W.CopyAt_)
-      Packets_.push_back(std::move(W));
+  for (PendingOpening &Opening : All) {
+    Opening.Deadline_ = Now + Timeout_;
+    if (Opening.Deadline_ < Opening.RetransmitAt_)
+      Packets_.push_back(std::move(Opening));
   }
 }
 
--- a/src/upstream-table.cc
+++ b/src/upstream-table.cc
@@ -15,7 +15,7 @@
 
 /// A cold upstream takes a share of its candidates that grows to all of them.
 bool admitsWhileCold(const Choice &C, const UpstreamRow &Row) {
-  if (C.Now_ >= Row.WarmAt_ || !detail::has(detail::Mechanism::ColdRamp))
+  if (C.Now_ >= Row.WarmAt_ || !detail::isEnabled(detail::Mechanism::ColdRamp))
     return true;
   auto Left = std::chrono::duration<double>(Row.WarmAt_ - C.Now_);
   auto Whole = std::chrono::duration<double>(UpstreamTable::ColdStart);
@@ -26,8 +26,10 @@
 
 /// Neither about to leave nor evacuated, so that it may take new flows.
 bool mayTake(const UpstreamRow &Row) {
-  bool Stays = !Row.Leaving_ || !detail::has(detail::Mechanism::Leaving);
-  bool Evacuated = Row.Evacuated_ && detail::has(detail::Mechanism::Evacuation);
+  bool Stays =
+      !Row.Leaving_ || !detail::isEnabled(detail::Mechanism::DrainingExclusion);
+  bool Evacuated = Row.Evacuated_ &&
+                   detail::isEnabled(detail::Mechanism::EvacuationExclusion);
   return Stays && !Evacuated;
 }
 
@@ -45,7 +47,7 @@
   bool ColdB = !admitsWhileCold(C, B);
   if (ColdA != ColdB)
     return ColdA ? Second : First;
-  if (!detail::has(detail::Mechanism::LeastLoaded))
+  if (!detail::isEnabled(detail::Mechanism::LeastLoaded))
     return First;
   std::uint64_t LoadA = std::uint64_t{Load(A)} * B.Slots_;
   std::uint64_t LoadB = std::uint64_t{Load(B)} * A.Slots_;
--- a/test/answer-evidence-test.cc
+++ b/test/answer-evidence-test.cc
@@ -44,15 +44,15 @@
                                .onWarning([this, I](const UpstreamWarning &M) {
                                  Told_.emplace_back(I, M);
                                })
-                               .onBelief([this](const Belief &B) {
-                                 if (B.Kind_ == Belief::Kind::Failing)
+                               .onUpstreamEvent([this](const UpstreamEvent &B) {
+                                 if (B.Kind_ == UpstreamEvent::Kind::Failing)
                                    Verdicts_.insert(raw(B.Upstream_));
                                })
                                .build());
       PacketBalancer &B = Balancers_.back();
       B.setRouting(at(0ms), table(1, {{IndexAt, Index}}));
       B.applyUpstreams(at(0ms), Changes);
-      B.confirm(at(0ms));
+      B.confirmUpTo(at(0ms));
       B.setFleetSize(Balancers);
     }
   }
@@ -106,7 +106,7 @@
     for (const auto &[From, M] : Told_)
       for (std::size_t I = 0; I < Balancers_.size(); ++I)
         if (I != From)
-          Balancers_[I].warned(clock(), M);
+          Balancers_[I].onPeerWarning(clock(), M);
     Told_.clear();
     return !Fails;
   }
--- a/test/cold-admission-test.cc
+++ b/test/cold-admission-test.cc
@@ -41,7 +41,7 @@
 PacketBalancer withLimit(double PerSecond) {
   PacketBalancer B = PacketBalancerBuilder().coldOver(1.5, 5).build();
   B.setRouting(at(0ms), limited(1, PerSecond));
-  B.confirm(at(0ms));
+  B.confirmUpTo(at(0ms));
   return B;
 }
 
@@ -143,7 +143,7 @@
   CHECK(Count[0] > 80);
   Verdict V = B.steer(at(1s), opening(500));
   REQUIRE(std::holds_alternative<ResetFlow>(V));
-  CHECK(std::get<ResetFlow>(V).Why_ == ErrorKind::AllCold);
+  CHECK(std::get<ResetFlow>(V).Error_ == ErrorKind::AllCold);
   CHECK(openings(B, 2s)[0] == 0);
 }
 
--- a/test/evacuated-openings-test.cc
+++ b/test/evacuated-openings-test.cc
@@ -24,7 +24,7 @@
   B.setRouting(at(0ms), table(1, {{IndexAt, Index}}));
   B.applyUpstreams(at(0ms), {in("a", 1), in("a", 2), in("b", 3), in("b", 4),
                              in("c", 5), in("c", 6)});
-  B.confirm(at(0ms));
+  B.confirmUpTo(at(0ms));
   return B;
 }
 
@@ -48,7 +48,7 @@
 }
 
 void die(PacketBalancer &B, std::uint64_t Id) {
-  B.checked(at(1ms), Incarnation{Id}, CheckResult::Dead, at(0ms));
+  B.onCheckResult(at(1ms), Incarnation{Id}, CheckResult::Dead, at(0ms));
 }
 
 const ResetFlow *refused(const Verdict &V) {
@@ -95,7 +95,7 @@
   CHECK(opened(B, at(10ms)).empty());
   Verdict V = B.steer(at(20ms), opening(9));
   REQUIRE(refused(V));
-  CHECK(refused(V)->Why_ == ErrorKind::AllEvacuated);
+  CHECK(refused(V)->Error_ == ErrorKind::AllEvacuated);
   evacuate(B, "b", false);
   CHECK(opened(B, at(30ms)) == std::set<std::uint64_t>{3, 4});
 }
--- a/test/flow-fleet.cc
+++ b/test/flow-fleet.cc
@@ -41,7 +41,7 @@
     Balancers_[Which].Core_->applyUpstreams(News_->clock(), Changes, MayReturn);
   };
   Hooks.OnConfirmed_ = [this](std::size_t Which, MonoTime AsOf) {
-    Balancers_[Which].Core_->confirm(AsOf);
+    Balancers_[Which].Core_->confirmUpTo(AsOf);
   };
   return Hooks;
 }
--- a/test/held-packets-test.cc
+++ b/test/held-packets-test.cc
@@ -60,10 +60,10 @@
 
 TEST_CASE("the number of packets is bounded; the oldest go") {
   HeldPackets Held;
-  for (std::size_t I = 0; I < HeldPackets::Bound + 10; ++I) {
+  for (std::size_t I = 0; I < HeldPackets::MaxPackets + 10; ++I) {
     std::uint8_t Data[] = {static_cast<std::uint8_t>(I), 0};
     Held.hold(at(0ms), Data, 2);
   }
-  CHECK(Held.size() == HeldPackets::Bound);
+  CHECK(Held.size() == HeldPackets::MaxPackets);
   CHECK(released(Held, at(1ms)).front() == 10);
 }
--- a/test/opening-retries-test.cc
+++ b/test/opening-retries-test.cc
@@ -11,16 +11,17 @@
 
 TEST_CASE("each opening is given back once, as it was") {
   asio::io_context Context;
-  std::vector<std::string> Due;
+  std::vector<std::string> Expired;
   OpeningRetries Retries(
       Context, [&](MonoTime, const std::uint8_t *Data, std::size_t Size) {
-        Due.emplace_back(reinterpret_cast<const char *>(Data), Size);
+        Expired.emplace_back(reinterpret_cast<const char *>(Data), Size);
       });
   for (std::string Text : {"first", "second"})
-    Retries.sent(monoNow(), reinterpret_cast<const std::uint8_t *>(Text.data()),
-                 Text.size());
+    Retries.onOpeningSent(monoNow(),
+                          reinterpret_cast<const std::uint8_t *>(Text.data()),
+                          Text.size());
   Context.run(); // ends once nothing waits any more
-  bool Whole = Due == std::vector<std::string>{"first", "second"};
+  bool BothReturned = Expired == std::vector<std::string>{"first", "second"};
   // A machine that stalls for 200 ms leaves them to the caller's own copies.
-  CHECK((Whole || Due.empty()));
+  CHECK((BothReturned || Expired.empty()));
 }
--- a/test/packet-balancer-test.cc
+++ b/test/packet-balancer-test.cc
@@ -89,7 +89,7 @@
         ErrorKind::UnknownCookie);
   // An address that was taken away gets nothing through.
   B.setRouting(at(3ms), table(2, {{IndexAt, Index}}));
-  B.confirm(at(3ms));
+  B.confirmUpTo(at(3ms));
   Verdict V = B.steer(at(4ms), following(7, 11, 1, 0, ArchiveAt));
   CHECK_FALSE(forwarded(V));
 }
@@ -178,8 +178,8 @@
   CHECK_FALSE(Takes(2500ms));
   CHECK(upstreamOf(B.steer(at(2500ms), following(1000, 2, 1))) == 2);
   PacketStatus S = B.status(at(2500ms));
-  for (const SteeredUpstream &U : S.Upstreams_)
-    CHECK(U.NotChosen_ ==
+  for (const UpstreamStatus &U : S.Upstreams_)
+    CHECK(U.ExclusionReason_ ==
           std::string_view(raw(U.Incarnation_) == 1 ? "gone" : ""));
 }
 
@@ -241,7 +241,7 @@
   CHECK(Reset->Service_ == Nowhere);
   CHECK(Reset->Sequence_ == 5000);
   CHECK(dropReason(B.steer(at(3000ms), P)) == ErrorKind::TableNotFresh);
-  B.confirm(at(2900ms));
+  B.confirmUpTo(at(2900ms));
   P.Resets_ = true; // a reset is never answered with one
   CHECK(std::holds_alternative<Dropped>(B.steer(at(3000ms), P)));
 }
@@ -338,7 +338,7 @@
       B.tick(at(Time));
     PacketStatus S = B.status(at(Now + 130s));
     RC_ASSERT(S.Flows_ == 0U);
-    for (const SteeredUpstream &U : S.Upstreams_) {
+    for (const UpstreamStatus &U : S.Upstreams_) {
       RC_ASSERT(U.Row_.OwnFlows_ == 0U);
       RC_ASSERT(U.Row_.InFlight_ == 0U);
     }
@@ -346,10 +346,12 @@
 }
 
 TEST_CASE("a change is told by name, and a list of thousands is not") {
-  std::vector<Belief> Told;
+  std::vector<UpstreamEvent> Told;
   PacketBalancer B =
       PacketBalancerBuilder()
-          .onBelief([&](const Belief &Belief) { Told.push_back(Belief); })
+          .onUpstreamEvent([&](const UpstreamEvent &UpstreamEvent) {
+            Told.push_back(UpstreamEvent);
+          })
           .build();
   std::vector<UpstreamChange> List;
   for (std::uint64_t Id = 1; Id <= 1000; ++Id)
@@ -358,5 +360,5 @@
   CHECK(Told.empty());
   B.applyUpstreams(at({}), {gone(5)});
   REQUIRE(Told.size() == 1);
-  CHECK(Told[0].Kind_ == Belief::Kind::Gone);
+  CHECK(Told[0].Kind_ == UpstreamEvent::Kind::Gone);
 }
--- a/test/packet-pages-test.cc
+++ b/test/packet-pages-test.cc
@@ -23,7 +23,8 @@
     Report_.Routing_ = Table;
     Report_.Now_ = MonoTime(std::chrono::seconds(20));
     Report_.Status_.RoutingVersion_ = 7;
-    Report_.Status_.KnownAsOf_ = MonoTime(std::chrono::milliseconds(19'500));
+    Report_.Status_.ConfirmedAsOf_ =
+        MonoTime(std::chrono::milliseconds(19'500));
     Report_.Status_.Upstreams_ = {
         {Incarnation{0xab}, "hall-a", Index, {}, "draining"},
         {Incarnation{0xcd}, "hall-b", Index, {}, ""}};
--- a/test/packets.h
+++ b/test/packets.h
@@ -72,13 +72,13 @@
   B.setRouting(at({}), table(1, {{IndexAt, Index}, {ArchiveAt, Archive}}));
   B.applyUpstreams(at({}), {up(1, Index), up(2, Index), up(3, Index),
                             up(4, Index), up(11, Archive), up(12, Archive)});
-  B.confirm(at({}));
+  B.confirmUpTo(at({}));
   return B;
 }
 
 inline ErrorKind dropReason(const Verdict &V) {
   const auto *D = std::get_if<Dropped>(&V);
-  return D ? D->Why_ : ErrorKind::None;
+  return D ? D->Error_ : ErrorKind::None;
 }
 
 inline const Forward *forwarded(const Verdict &V) {
--- a/test/silence-fleet.cc
+++ b/test/silence-fleet.cc
@@ -35,14 +35,17 @@
 
 void SilenceFleet::start(std::size_t Which) {
   Host &H = Hosts_[Which];
-  auto OnBelief = [&H](const Belief &B) {
-    if (B.Kind_ == Belief::Kind::Stalled)
+  auto OnUpstreamEvent = [&H](const UpstreamEvent &B) {
+    if (B.Kind_ == UpstreamEvent::Kind::Stalled)
       H.Suspected_.insert(raw(B.Upstream_));
   };
   auto OnWarning = [this, Which](const UpstreamWarning &M) { warn(Which, M); };
   bool First = !H.Core_;
-  H.Core_ = std::make_unique<PacketBalancer>(
-      PacketBalancerBuilder().onBelief(OnBelief).onWarning(OnWarning).build());
+  H.Core_ =
+      std::make_unique<PacketBalancer>(PacketBalancerBuilder()
+                                           .onUpstreamEvent(OnUpstreamEvent)
+                                           .onWarning(OnWarning)
+                                           .build());
   auto Table = std::make_shared<RoutingTable>();
   Table->Version_ = 1;
   Table->Addresses_[ServiceAt] = {{Service, 1}};
@@ -76,11 +79,11 @@
 
 /// A start opens some links, and only the peers of those hear of it.
 void SilenceFleet::linkAnew(std::size_t Which) {
-  Hosts_[Which].Core_->arrived(Events_.now());
+  Hosts_[Which].Core_->onBalancerJoined(Events_.now());
   for (std::uint64_t Link = 0; Link < 3; ++Link) {
     Host &Peer = Hosts_[hashPair(Which, Link + 10) % Hosts_.size()];
     if (Peer.In_)
-      Peer.Core_->arrived(Events_.now());
+      Peer.Core_->onBalancerJoined(Events_.now());
   }
 }
 
@@ -88,7 +91,7 @@
   if (Hosts_[Which].In_)
     Hosts_[Which].Core_->tick(Events_.now());
   Micros Apart(static_cast<long>(hashPair(Which, 2) % 1000));
-  Events_.after(PacketBalancer::TickEvery + Apart, [=] { tick(Which); });
+  Events_.after(PacketBalancer::TickInterval + Apart, [=] { tick(Which); });
 }
 
 void SilenceFleet::warn(std::size_t From, const UpstreamWarning &M) {
@@ -97,7 +100,7 @@
       Host &H = Hosts_[Which];
       if (Which != From && H.In_ &&
           H.Heard_.insert({raw(M.Upstream_), M.Flow_}).second)
-        H.Core_->warned(Events_.now(), M);
+        H.Core_->onPeerWarning(Events_.now(), M);
     }
   });
 }
@@ -162,8 +165,9 @@
 std::size_t SilenceFleet::sickTaking() const {
   std::size_t Count = 0;
   for (const Host &H : Hosts_)
-    for (const SteeredUpstream &Up : H.Core_->status(Events_.now()).Upstreams_)
-      if (H.In_ && raw(Up.Incarnation_) <= Hanging_ && Up.NotChosen_.empty())
+    for (const UpstreamStatus &Up : H.Core_->status(Events_.now()).Upstreams_)
+      if (H.In_ && raw(Up.Incarnation_) <= Hanging_ &&
+          Up.ExclusionReason_.empty())
         ++Count;
   return Count;
 }
--- a/test/three-upstreams.h
+++ b/test/three-upstreams.h
@@ -108,7 +108,7 @@
 
   void checked(std::chrono::milliseconds Time, std::uint64_t Upstream,
                CheckResult Result, std::chrono::milliseconds Began) {
-    B_.checked(at(Time), Incarnation{Upstream}, Result, at(Began));
+    B_.onCheckResult(at(Time), Incarnation{Upstream}, Result, at(Began));
   }
 
   PacketBalancer B_;
--- a/test/unanswered-openings-test.cc
+++ b/test/unanswered-openings-test.cc
@@ -18,10 +18,11 @@
 
 Numbers taken(UnansweredOpenings &Openings, std::chrono::milliseconds Time) {
   Numbers Result;
-  Openings.takeDue(at(Time), [&](const std::uint8_t *Data, std::size_t Size) {
-    REQUIRE(Size == 1);
-    Result.push_back(Data[0]);
-  });
+  Openings.takeExpired(at(Time),
+                       [&](const std::uint8_t *Data, std::size_t Size) {
+                         REQUIRE(Size == 1);
+                         Result.push_back(Data[0]);
+                       });
   return Result;
 }
 
@@ -29,13 +30,13 @@
 
 TEST_CASE("an opening is due once, when its answer should have come") {
   UnansweredOpenings Openings;
-  CHECK(Openings.dueAt() == MonoTime::max());
+  CHECK(Openings.nextDeadline() == MonoTime::max());
   add(Openings, 0ms, 1);
   add(Openings, 10ms, 2);
-  CHECK(Openings.dueAt() == at(40ms));
+  CHECK(Openings.nextDeadline() == at(40ms));
   CHECK(taken(Openings, 39ms) == Numbers{});
   CHECK(taken(Openings, 40ms) == Numbers{1});
-  CHECK(Openings.dueAt() == at(50ms));
+  CHECK(Openings.nextDeadline() == at(50ms));
   CHECK(taken(Openings, 55ms) == Numbers{2});
   CHECK(taken(Openings, 60ms) == Numbers{});
 }
@@ -43,7 +44,7 @@
 TEST_CASE("the time for an answer follows what is set") {
   UnansweredOpenings Openings;
   add(Openings, 0ms, 1);
-  Openings.setWait(120ms);
+  Openings.setTimeout(120ms);
   add(Openings, 10ms, 2);
   CHECK(taken(Openings, 45ms) == Numbers{1});
   CHECK(taken(Openings, 120ms) == Numbers{});
@@ -55,7 +56,7 @@
   add(Openings, 0ms, 1);
   add(Openings, 30ms, 2);
   CHECK(taken(Openings, 90ms) == Numbers{}); // 50 ms late
-  CHECK(Openings.dueAt() == at(130ms));
+  CHECK(Openings.nextDeadline() == at(130ms));
   CHECK(taken(Openings, 130ms) == Numbers{1, 2});
 }
 
@@ -67,12 +68,12 @@
   CHECK(taken(Openings, 210ms) == Numbers{2});
   add(Openings, 300ms, 3);
   CHECK(taken(Openings, 9000ms) == Numbers{});
-  CHECK(Openings.dueAt() == MonoTime::max());
+  CHECK(Openings.nextDeadline() == MonoTime::max());
 }
 
 TEST_CASE("the number of packets is bounded") {
   UnansweredOpenings Openings;
-  for (std::size_t I = 0; I < UnansweredOpenings::Bound + 10; ++I)
+  for (std::size_t I = 0; I < UnansweredOpenings::MaxPackets + 10; ++I)
     add(Openings, 0ms, 1);
-  CHECK(taken(Openings, 40ms).size() == UnansweredOpenings::Bound);
+  CHECK(taken(Openings, 40ms).size() == UnansweredOpenings::MaxPackets);
 }
--- a/test/upstream-address-test.cc
+++ b/test/upstream-address-test.cc
@@ -50,7 +50,7 @@
   SUBCASE("its flows are reset, and it is never checked nor chosen again") {
     B.B_.applyUpstreams(at(100ms), {S.Next_, S.firstGone()});
     REQUIRE_FALSE(B.Resets_.empty());
-    CHECK(B.Resets_.front().Why_ == ErrorKind::UpstreamDead);
+    CHECK(B.Resets_.front().Error_ == ErrorKind::UpstreamDead);
     for (auto Now = 250ms; Now < 10s; Now += 250ms)
       B.B_.tick(at(Now));
     CHECK(B.Checks_.empty());
--- a/test/upstream-check-test.cc
+++ b/test/upstream-check-test.cc
@@ -122,7 +122,7 @@
 TEST_CASE("a peer's warning of a dead upstream asks for a check of our own") {
   Balancer3 B;
   std::uint64_t Up = B.request(1);
-  B.B_.warned(at(100ms), {Incarnation{Up}, UpstreamWarning::Kind::Dead});
+  B.B_.onPeerWarning(at(100ms), {Incarnation{Up}, UpstreamWarning::Kind::Dead});
   CHECK(B.Checks_.empty()); // spread over the ticks of the fleet
   B.B_.tick(at(250ms));
   CHECK(B.Checks_ == std::vector<std::uint64_t>{Up});
@@ -131,8 +131,10 @@
   CHECK(B.Resets_.empty()); // a warning alone proves nothing
   // Of one that is gone, or that nobody knows: nothing.
   B.B_.applyUpstreams(at(1600ms), {{Incarnation{Up}, 2, std::nullopt}});
-  B.B_.warned(at(1700ms), {Incarnation{Up}, UpstreamWarning::Kind::Dead});
-  B.B_.warned(at(1700ms), {Incarnation{99}, UpstreamWarning::Kind::Dead});
+  B.B_.onPeerWarning(at(1700ms),
+                     {Incarnation{Up}, UpstreamWarning::Kind::Dead});
+  B.B_.onPeerWarning(at(1700ms),
+                     {Incarnation{99}, UpstreamWarning::Kind::Dead});
   B.B_.tick(at(2750ms));
   CHECK(B.Checks_.size() == 1);
 }
--- a/test/upstream-restart-test.cc
+++ b/test/upstream-restart-test.cc
@@ -72,12 +72,12 @@
     CHECK(B.Warnings_.empty());
   }
   SUBCASE("a peer's warning of the earlier start") {
-    B.B_.warned(at(500ms), {Incarnation{R.Which_}, UpstreamWarning::Kind::Dead,
-                            FlowId{}, 100});
+    B.B_.onPeerWarning(at(500ms), {Incarnation{R.Which_},
+                                   UpstreamWarning::Kind::Dead, FlowId{}, 100});
     B.B_.tick(at(600ms));
     CHECK(B.Checks_.empty());
-    B.B_.warned(at(650ms), {Incarnation{R.Which_}, UpstreamWarning::Kind::Dead,
-                            FlowId{}, 200});
+    B.B_.onPeerWarning(at(650ms), {Incarnation{R.Which_},
+                                   UpstreamWarning::Kind::Dead, FlowId{}, 200});
     B.B_.tick(at(850ms));
     CHECK(B.Checks_ == std::vector<std::uint64_t>{R.Which_});
   }
@@ -112,7 +112,7 @@
     B.open(100ms, Port);
   R.startAgain(400ms);
   PacketStatus S = B.B_.status(at(400ms));
-  for (const SteeredUpstream &Up : S.Upstreams_)
+  for (const UpstreamStatus &Up : S.Upstreams_)
     if (raw(Up.Incarnation_) == R.Which_) {
       CHECK(Up.Row_.OwnFlows_ == 0);
       CHECK(Up.Row_.InFlight_ == 0);
--- a/test/upstream-stall-test.cc
+++ b/test/upstream-stall-test.cc
@@ -106,7 +106,7 @@
 TEST_CASE("openings that usually take long are not retried before that, and "
           "cost no upstream its flows") {
   Balancer3 B;
-  CHECK(B.B_.openingWait() == 40ms);
+  CHECK(B.B_.openingTimeout() == 40ms);
   auto OpenIn = [&](std::chrono::milliseconds Begin, std::uint16_t Port,
                     std::chrono::milliseconds After) {
     std::uint64_t Up = B.open(Begin, Port);
@@ -114,11 +114,11 @@
   };
   for (std::uint16_t Port = 1; Port < 50; ++Port)
     OpenIn(Port * 10ms, Port, 8ms);
-  CHECK(B.B_.openingWait() == 40ms);
+  CHECK(B.B_.openingTimeout() == 40ms);
   for (std::uint16_t Port = 100; Port < 200; ++Port)
     OpenIn(1s + Port * 10ms, Port, 45ms);
-  CHECK(B.B_.openingWait() > 120ms);
-  CHECK(B.B_.openingWait() <= 160ms);
+  CHECK(B.B_.openingTimeout() > 120ms);
+  CHECK(B.B_.openingTimeout() <= 160ms);
   // A copy that comes soon after a retry is no evidence against that one.
   std::uint64_t First = B.open(4s, 300);
   Packet P = packet(300);
@@ -136,24 +136,24 @@
   std::uint64_t Up = B.request(1);
   UpstreamWarning Stalled{Incarnation{Up}, UpstreamWarning::Kind::Stalled};
   SUBCASE("for a while") {
-    B.B_.warned(at(1000ms), Stalled);
+    B.B_.onPeerWarning(at(1000ms), Stalled);
     CHECK_FALSE(B.takesFlows(Up, 2900ms));
     CHECK(B.takesFlows(Up, 3100ms));
   }
   SUBCASE("however many peers see the same stall") {
     for (auto Now = 1000ms; Now < 2900ms; Now += 100ms)
-      B.B_.warned(at(Now), Stalled);
+      B.B_.onPeerWarning(at(Now), Stalled);
     CHECK(B.takesFlows(Up, 3100ms));
   }
   SUBCASE("longer when it stalls again after that") {
-    B.B_.warned(at(1000ms), Stalled);
-    B.B_.warned(at(3100ms), Stalled);
+    B.B_.onPeerWarning(at(1000ms), Stalled);
+    B.B_.onPeerWarning(at(3100ms), Stalled);
     CHECK_FALSE(B.takesFlows(Up, 7000ms));
     CHECK(B.takesFlows(Up, 7200ms));
   }
   SUBCASE("not if it has just answered here") {
     B.follow(900ms, 1, Up, 5000);
-    B.B_.warned(at(1000ms), Stalled);
+    B.B_.onPeerWarning(at(1000ms), Stalled);
     CHECK(B.takesFlows(Up, 1010ms));
   }
   CHECK(B.Resets_.empty());
@@ -161,57 +161,57 @@
 
 TEST_CASE("while the fabric moves flows, it takes two requests") {
   Balancer3 B;
-  B.B_.arrived(at(900ms)); // until 3.4 s
+  B.B_.onBalancerJoined(at(900ms)); // until 3.4 s
   std::uint64_t Up = B.request(1);
   auto Unanswered = [Up](std::uint64_t Flow) {
     return UpstreamWarning{Incarnation{Up}, UpstreamWarning::Kind::Stalled,
                            FlowId{Flow}};
   };
   SUBCASE("not for one request, however often it is told of") {
-    B.B_.warned(at(990ms), Unanswered(7));
-    B.B_.warned(at(1000ms), Unanswered(7));
+    B.B_.onPeerWarning(at(990ms), Unanswered(7));
+    B.B_.onPeerWarning(at(1000ms), Unanswered(7));
     CHECK(B.takesFlows(Up, 1010ms));
   }
   SUBCASE("nor for two that are far apart") {
-    B.B_.warned(at(990ms), Unanswered(7));
-    B.B_.warned(at(3000ms), Unanswered(8));
+    B.B_.onPeerWarning(at(990ms), Unanswered(7));
+    B.B_.onPeerWarning(at(3000ms), Unanswered(8));
     CHECK(B.takesFlows(Up, 3010ms));
   }
   SUBCASE("one is enough again after that") {
-    B.B_.warned(at(3900ms), Unanswered(7));
+    B.B_.onPeerWarning(at(3900ms), Unanswered(7));
     CHECK_FALSE(B.takesFlows(Up, 3910ms));
   }
   SUBCASE("for a while, once there are two") {
-    B.B_.warned(at(990ms), Unanswered(7));
-    B.B_.warned(at(1000ms), Unanswered(8));
+    B.B_.onPeerWarning(at(990ms), Unanswered(7));
+    B.B_.onPeerWarning(at(1000ms), Unanswered(8));
     CHECK_FALSE(B.takesFlows(Up, 2900ms));
     CHECK(B.takesFlows(Up, 3100ms));
   }
   SUBCASE("however many peers see the same stall") {
     std::uint64_t Flow = 7;
-    B.B_.warned(at(990ms), Unanswered(Flow));
+    B.B_.onPeerWarning(at(990ms), Unanswered(Flow));
     for (auto Now = 1000ms; Now < 2900ms; Now += 100ms)
-      B.B_.warned(at(Now), Unanswered(++Flow));
+      B.B_.onPeerWarning(at(Now), Unanswered(++Flow));
     CHECK(B.takesFlows(Up, 3100ms));
   }
   SUBCASE("longer when it stalls again after that") {
-    B.B_.warned(at(990ms), Unanswered(7));
-    B.B_.warned(at(1000ms), Unanswered(8));
-    B.B_.warned(at(3090ms), Unanswered(9));
-    B.B_.warned(at(3100ms), Unanswered(10));
+    B.B_.onPeerWarning(at(990ms), Unanswered(7));
+    B.B_.onPeerWarning(at(1000ms), Unanswered(8));
+    B.B_.onPeerWarning(at(3090ms), Unanswered(9));
+    B.B_.onPeerWarning(at(3100ms), Unanswered(10));
     CHECK_FALSE(B.takesFlows(Up, 7000ms));
     CHECK(B.takesFlows(Up, 7200ms));
   }
   SUBCASE("not if it has just answered here") {
     B.follow(900ms, 1, Up, 5000);
-    B.B_.warned(at(990ms), Unanswered(7));
-    B.B_.warned(at(1000ms), Unanswered(8));
+    B.B_.onPeerWarning(at(990ms), Unanswered(7));
+    B.B_.onPeerWarning(at(1000ms), Unanswered(8));
     CHECK(B.takesFlows(Up, 1010ms));
   }
   SUBCASE("nor if it answers here between them") {
-    B.B_.warned(at(700ms), Unanswered(7));
+    B.B_.onPeerWarning(at(700ms), Unanswered(7));
     B.follow(800ms, 1, Up, 5000);
-    B.B_.warned(at(1500ms), Unanswered(8));
+    B.B_.onPeerWarning(at(1500ms), Unanswered(8));
     CHECK(B.takesFlows(Up, 1510ms));
   }
   CHECK(B.Resets_.empty());
