--- a/src/packet-balancer-flows.cc
+++ b/src/packet-balancer-flows.cc
@@ -4,47 +4,48 @@
 
 using detail::PacketFlowRow;
 
-std::uint32_t PacketBalancer::Impl::dueTick(Micros After) const {
+std::uint32_t PacketBalancer::Impl::expiryTick(Micros After) const {
   return static_cast<std::uint32_t>((Now_.time_since_epoch() + After) /
                                     TickInterval);
 }
 
 /// A row for a flow that goes to an upstream from now on; null when the table
 /// is full: such a flow is served, but not counted.
-PacketFlowRow *PacketBalancer::Impl::place(const Packet &P, FlowId Flow,
-                                           std::uint32_t Index) {
+PacketFlowRow *PacketBalancer::Impl::assignFlow(const Packet &P, FlowId Flow,
+                                                std::uint32_t Index) {
   PacketFlowRow *Row = Flows_.find(Flow);
   if (Row)
-    countOut(*Row);
-  PacketFlowRow Fresh;
-  Fresh.Flow_ = Flow;
-  Fresh.Caller_ = P.Caller_;
-  Fresh.Service_ = P.Service_;
+    subtractLoad(*Row);
+  PacketFlowRow NewRow;
+  NewRow.Flow_ = Flow;
+  NewRow.Caller_ = P.Caller_;
+  NewRow.Service_ = P.Service_;
   if (!Row)
-    Row = Flows_.insert(Fresh, dueTick(Options_.MaxFlowAge_));
+    Row = Flows_.insert(NewRow, expiryTick(Options_.MaxFlowAge_));
   if (!Row)
     return nullptr;
   Row->Upstream_ = Index;
   Row->Open_ = false;
   Row->InProgress_ = false;
-  countIn(*Row);
+  addLoad(*Row);
   return Row;
 }
 
-void PacketBalancer::Impl::noteOpening(const Packet &P, FlowId Flow,
-                                       std::uint32_t Index) {
-  if (PacketFlowRow *Row = place(P, Flow, Index))
+void PacketBalancer::Impl::recordOpening(const Packet &P, FlowId Flow,
+                                         std::uint32_t Index) {
+  if (PacketFlowRow *Row = assignFlow(P, Flow, Index))
     setInProgress(*Row, true);
 }
 
 /// Data of a flow that was opened by another balancer.
-PacketFlowRow *PacketBalancer::Impl::noteFollowed(const Packet &P, FlowId Flow,
-                                                  std::uint32_t Index) {
+PacketFlowRow *PacketBalancer::Impl::recordFollowed(const Packet &P,
+                                                    FlowId Flow,
+                                                    std::uint32_t Index) {
   if (P.DataSize_ == 0 || P.Finishes_ || P.Resets_)
     return nullptr;
   ++Counters_.Followed_;
-  decide(Decision::Kind::Followed, P, Index, ErrorKind::None, 0);
-  PacketFlowRow *Row = place(P, Flow, Index);
+  reportDecision(Decision::Kind::Followed, P, Index, ErrorKind::None, 0);
+  PacketFlowRow *Row = assignFlow(P, Flow, Index);
   if (!Row)
     return nullptr;
   Row->Open_ = true;
@@ -61,48 +62,49 @@
   Count = InProgress ? Count + 1 : Count - 1;
 }
 
-void PacketBalancer::Impl::measure(const PacketFlowRow &Row, DelayClass Class) {
-  ServiceId Service = Details_[Row.Upstream_].Service_;
+void PacketBalancer::Impl::recordDelay(const PacketFlowRow &Row,
+                                       DelayClass Class) {
+  ServiceId Service = UpstreamStates_[Row.Upstream_].Service_;
   Micros Delay = Now_ - Row.Since_;
   if (Class == DelayClass::Open)
-    Openings_.add(Delay);
+    OpeningDelay_.add(Delay);
   else
-    Services_[raw(Service)].Answers_.add(Delay);
+    Services_[raw(Service)].AnswerDelay_.add(Delay);
   if (Options_.OnDelay_)
     Options_.OnDelay_(Service, Class, Delay);
 }
 
-void PacketBalancer::Impl::noteProgress(const Packet &P, FlowId Flow,
-                                        std::uint32_t Index) {
+void PacketBalancer::Impl::recordProgress(const Packet &P, FlowId Flow,
+                                          std::uint32_t Index) {
   PacketFlowRow *Row = Flows_.find(Flow);
   if (!Row)
-    Row = noteFollowed(P, Flow, Index);
+    Row = recordFollowed(P, Flow, Index);
   if (!Row)
     return;
   if (Row->Upstream_ != Index)
-    moveFlow(*Row, Index);
+    reassignFlow(*Row, Index);
   bool Progress = !Row->Open_ || P.Acknowledged_ != Row->Acknowledged_;
   bool Answered = Row->Open_ && Progress;
   if (Answered)
-    noteAnswer(Index);
+    recordAnswer(Index);
   if (Answered && Row->InProgress_ && !P.Resets_)
-    judgeAnswer(*Row, P);
+    classifyAnswer(*Row, P);
   if (P.Finishes_ || P.Resets_)
     return endFlow(*Row);
-  bool SentAgain = !Progress && Row->InProgress_ && P.DataSize_ > 0 &&
-                   P.Sequence_ == Row->Sequence_;
+  bool Retransmitted = !Progress && Row->InProgress_ && P.DataSize_ > 0 &&
+                       P.Sequence_ == Row->Sequence_;
   if (Progress)
-    Details_[Index].ProgressAt_ = Now_;
-  if (SentAgain)
-    check(Index);
+    UpstreamStates_[Index].LastProgressAt_ = Now_;
+  if (Retransmitted)
+    requestCheck(Index);
   if (!Row->Open_) {
     Row->Open_ = true;
     Upstreams_.succeeded(Index);
-    measure(*Row, DelayClass::Open);
+    recordDelay(*Row, DelayClass::Open);
     Row->Since_ = Now_; // its request comes right behind
   } else if (Progress) {
     if (Row->InProgress_)
-      measure(*Row, DelayClass::Request);
+      recordDelay(*Row, DelayClass::Request);
     setInProgress(*Row, false);
   }
   Row->Acknowledged_ = P.Acknowledged_;
@@ -110,32 +112,33 @@
     return;
   Row->Sequence_ = P.Sequence_;
   setInProgress(*Row, true);
-  noteRequest(Index, Flow);
+  recordRequest(Index, Flow);
 }
 
 /// An opening went to two upstreams, and the caller took the other's answer.
-void PacketBalancer::Impl::moveFlow(PacketFlowRow &Row, std::uint32_t Index) {
-  countOut(Row);
+void PacketBalancer::Impl::reassignFlow(PacketFlowRow &Row,
+                                        std::uint32_t Index) {
+  subtractLoad(Row);
   Row.Upstream_ = Index;
-  countIn(Row);
+  addLoad(Row);
 }
 
-void PacketBalancer::Impl::countIn(const PacketFlowRow &Row) {
-  UpstreamRow &Up = Upstreams_[Row.Upstream_];
-  ++Up.OwnFlows_;
+void PacketBalancer::Impl::addLoad(const PacketFlowRow &Row) {
+  UpstreamRow &Upstream = Upstreams_[Row.Upstream_];
+  ++Upstream.OwnFlows_;
   if (Row.InProgress_)
-    ++Up.InFlight_;
+    ++Upstream.InFlight_;
 }
 
-void PacketBalancer::Impl::countOut(const PacketFlowRow &Row) {
-  UpstreamRow &Up = Upstreams_[Row.Upstream_];
-  --Up.OwnFlows_;
+void PacketBalancer::Impl::subtractLoad(const PacketFlowRow &Row) {
+  UpstreamRow &Upstream = Upstreams_[Row.Upstream_];
+  --Upstream.OwnFlows_;
   if (Row.InProgress_)
-    --Up.InFlight_;
+    --Upstream.InFlight_;
 }
 
 void PacketBalancer::Impl::endFlow(PacketFlowRow &Row) {
-  countOut(Row);
+  subtractLoad(Row);
   Flows_.erase(Row);
 }
 
--- a/src/packet-balancer-impl.h
+++ b/src/packet-balancer-impl.h
@@ -30,7 +30,7 @@
 
 /// A single opening that got no answer in the caller's 200 ms moves new flows
 /// elsewhere for a while: a mistake costs nothing, since they are served there.
-constexpr std::uint32_t UnansweredToEject = 1;
+constexpr std::uint32_t OpeningFailuresToEject = 1;
 
 } // namespace detail
 
@@ -54,10 +54,10 @@
   void setServing(bool Serving) { Serving_ = Serving; }
   void setFleetSize(std::size_t Balancers) { FleetSize_ = Balancers; }
   void onBalancerJoined(MonoTime At) {
-    UnsettledUntil_ = std::max(UnsettledUntil_, At + RerouteSettleTime);
+    ReroutesUntil_ = std::max(ReroutesUntil_, At + RerouteSettleTime);
   }
   void tick(MonoTime Now);
-  void setFleet(FleetView View) { Cold_.setFleet(std::move(View)); }
+  void setFleet(FleetView View) { ColdAdmission_.setFleet(std::move(View)); }
   bool hasColdLimits() const {
     return Routing_ && !Routing_->ColdPerSecond_.empty();
   }
@@ -68,42 +68,42 @@
     Options_.Cold_.Over_ = ColdOver;
     Options_.Cold_.Slack_ = ColdSlack;
   }
-  bool ready() const { return Routing_ && ListKnown_; }
+  bool ready() const { return Routing_ && UpstreamsKnown_; }
   const PacketCounters &counters() const { return Counters_; }
   PacketStatus status(MonoTime Now) const;
   Micros openingTimeout() const;
 
 private:
-  struct WaitingRequest {
+  struct PendingRequest {
     FlowId Flow_{};
     MonoTime Since_{};
   };
   /// What belongs to a row of the upstream table with the same index.
-  struct Detail {
+  struct UpstreamState {
     ServiceId Service_{};
-    bool Member_ = false; ///< Of the service.
+    bool HasService_ = false; ///< Of the service.
     std::string DataHall_;
     Revision Revision_ = 0;
     std::uint64_t BornMs_ = 0; ///< Of the start that is published.
     /// When that start took the place of an earlier one here.
     MonoTime StartedAt_{};
-    MonoTime ColdUntil_{};   ///< As it is published.
-    MonoTime LapsedUntil_{}; ///< While it may come back.
-    MonoTime ForgetAt_{};    ///< When a gone upstream's row is given back.
-    MonoTime ProgressAt_{};  ///< Last sign of life in any of its flows.
+    MonoTime ColdUntil_{};      ///< As it is published.
+    MonoTime LapsedUntil_{};    ///< While it may come back.
+    MonoTime ReleaseAt_{};      ///< When a gone upstream's row is given back.
+    MonoTime LastProgressAt_{}; ///< Last sign of life in any of its flows.
     /// Requests that were sent to it since its last answer.
-    std::vector<WaitingRequest> Waiting_;
-    MonoTime AnswerAt_{};
-    std::uint32_t Stalls_ = 0;   ///< In a row.
-    std::uint32_t Failings_ = 0; ///< In a row.
-    bool CheckWanted_ = false;   ///< At the next tick: a peer found it dead.
+    std::vector<PendingRequest> PendingRequests_;
+    MonoTime LastAnswerAt_{};
+    std::uint32_t StallEjections_ = 0;   ///< In a row.
+    std::uint32_t FailingEjections_ = 0; ///< In a row.
+    bool CheckRequested_ = false; ///< At the next tick: a peer found it dead.
     MonoTime NextCheckAt_{};     ///< Not checked before, whatever is suspected.
     MonoTime RecheckAt_{};       ///< While it is dead.
     std::uint32_t Rechecks_ = 0; ///< Since it was found dead.
     bool Lapsed_ = false;
     bool Gone_ = false;
     bool Draining_ = false;
-    bool Ended_ = false; ///< Another upstream has taken its address over.
+    bool Replaced_ = false; ///< Another upstream has taken its address over.
   };
   /// The upstreams of a service and those among them that take new flows.
   struct ServiceState {
@@ -111,110 +111,111 @@
     Eligible Eligible_;
     /// Those that only the owners of their limit may choose, and when the first
     /// of them is warm.
-    std::vector<std::uint32_t> Cold_;
+    std::vector<std::uint32_t> ColdMembers_;
     MonoTime WarmAt_ = MonoTime::max();
     Version Routing_ = 0; ///< Whose limits were applied.
     detail::MovingAverageDelay
-        Answers_; ///< From request to acknowledged answer.
+        AnswerDelay_; ///< From request to acknowledged answer.
     detail::RecentCount RecentAnswers_;
     std::uint64_t Generation_ = 0;
   };
 
   Verdict open(const Packet &P, FlowId Flow,
                const std::vector<ServiceShare> &Shares);
-  Verdict follow(const Packet &P, FlowId Flow);
+  Verdict routeByCookie(const Packet &P, FlowId Flow);
   Verdict refuse(const Packet &P, ErrorKind Why);
-  void noteSilence(std::uint32_t Index);
+  void recordUnansweredOpening(std::uint32_t Index);
   Forward sendOpening(Decision::Kind Kind, const Packet &P, FlowId Flow,
                       std::uint32_t Index);
-  std::uint32_t choose(ServiceId Service, FlowId Flow, std::uint32_t Copy,
+  std::uint32_t choose(ServiceId Service, FlowId Flow, std::uint32_t Attempt,
                        std::uint32_t Avoid);
   const Eligible &eligible(ServiceId Service, ServiceState &State);
-  void partCold(ServiceState &State, const ColdLimit &Limit);
+  void separateCold(ServiceState &State, const ColdLimit &Limit);
   std::uint32_t chooseCold(const ServiceState &State, FlowId Flow,
                            const ColdLimit &Limit, std::uint32_t Avoid);
   ColdLimit coldLimit(ServiceId Service) const;
-  ErrorKind whyNone(ServiceId Service) const;
-  bool fresh() const;
-  detail::PacketFlowRow *place(const Packet &P, FlowId Flow,
-                               std::uint32_t Index);
-  void noteOpening(const Packet &P, FlowId Flow, std::uint32_t Index);
-  void noteProgress(const Packet &P, FlowId Flow, std::uint32_t Index);
-  detail::PacketFlowRow *noteFollowed(const Packet &P, FlowId Flow,
-                                      std::uint32_t Index);
-  void measure(const detail::PacketFlowRow &Row, DelayClass Class);
+  ErrorKind noCandidateError(ServiceId Service) const;
+  bool isFresh() const;
+  detail::PacketFlowRow *assignFlow(const Packet &P, FlowId Flow,
+                                    std::uint32_t Index);
+  void recordOpening(const Packet &P, FlowId Flow, std::uint32_t Index);
+  void recordProgress(const Packet &P, FlowId Flow, std::uint32_t Index);
+  detail::PacketFlowRow *recordFollowed(const Packet &P, FlowId Flow,
+                                        std::uint32_t Index);
+  void recordDelay(const detail::PacketFlowRow &Row, DelayClass Class);
   void setInProgress(detail::PacketFlowRow &Row, bool InProgress);
   void endFlow(detail::PacketFlowRow &Row);
-  void moveFlow(detail::PacketFlowRow &Row, std::uint32_t Index);
-  void countIn(const detail::PacketFlowRow &Row);
-  void countOut(const detail::PacketFlowRow &Row);
-  void put(const UpstreamChange &Change);
-  void putEnded(const UpstreamChange &Change);
-  void end(const UpstreamChange &Change, bool MayReturn);
+  void reassignFlow(detail::PacketFlowRow &Row, std::uint32_t Index);
+  void addLoad(const detail::PacketFlowRow &Row);
+  void subtractLoad(const detail::PacketFlowRow &Row);
+  void addOrUpdate(const UpstreamChange &Change);
+  void addEnded(const UpstreamChange &Change);
+  void remove(const UpstreamChange &Change, bool MayReturn);
   void setGone(std::uint32_t Index);
   void expireUpstreams();
-  void forget(std::uint32_t Index);
-  void suspect(std::uint32_t Index);
-  void check(std::uint32_t Index);
-  void checkDue();
-  void noteRequest(std::uint32_t Index, FlowId Flow);
-  void noteAnswer(std::uint32_t Index);
-  void noteStalls();
-  std::optional<Micros> stallLimit(std::uint32_t Index) const;
-  double usualAnswers(const ServiceState &Of) const;
-  void judgeAnswer(const detail::PacketFlowRow &Row, const Packet &P);
-  void noteFailing(std::uint32_t Index, FlowId Flow, bool SeenHere);
-  void noteUnanswered(std::uint32_t Index, FlowId Flow, bool SeenHere);
-  std::size_t neededAgainst(std::uint32_t Index, bool SeenHere) const;
-  void putAside(std::uint32_t Index, UpstreamEvent::Kind Why,
-                std::uint32_t &InARow, std::size_t Evidence,
+  void forgetUpstream(std::uint32_t Index);
+  void recordOpeningFailure(std::uint32_t Index);
+  void requestCheck(std::uint32_t Index);
+  void runDueChecks();
+  void recordRequest(std::uint32_t Index, FlowId Flow);
+  void recordAnswer(std::uint32_t Index);
+  void detectStalls();
+  std::optional<Micros> stallTimeout(std::uint32_t Index) const;
+  double expectedAnswers(const ServiceState &Of) const;
+  void classifyAnswer(const detail::PacketFlowRow &Row, const Packet &P);
+  void recordShortAnswer(std::uint32_t Index, FlowId Flow, bool SeenLocally);
+  void recordUnansweredRequest(std::uint32_t Index, FlowId Flow,
+                               bool SeenLocally);
+  std::size_t requiredEvidence(std::uint32_t Index, bool SeenLocally) const;
+  void ejectFor(std::uint32_t Index, UpstreamEvent::Kind Why,
+                std::uint32_t &Consecutive, std::size_t Evidence,
                 std::size_t Needed);
   std::uint32_t indexOf(Incarnation Which) const;
   void setAlive(std::uint32_t Index);
   void setDead(std::uint32_t Index);
   void warn(std::uint32_t Index, UpstreamWarning::Kind Kind, FlowId Flow) const;
-  void restart(std::uint32_t Index);
-  void joinAddress(std::uint32_t Index);
-  void leaveAddress(std::uint32_t Index);
-  void settleAddress(const Endpoint &At);
-  bool hasTakenOver(std::uint32_t Index, std::uint32_t From) const;
-  void setEnded(std::uint32_t Index);
-  void forgetBeliefs();
-  void giveUpFlows(std::uint32_t Index);
-  void believe(UpstreamEvent::Kind Kind, std::uint32_t Index) const;
-  void decide(Decision::Kind Kind, const Packet &P, std::uint32_t Index,
-              ErrorKind Why, std::size_t Candidates) const;
+  void resetState(std::uint32_t Index);
+  void addToAddress(std::uint32_t Index);
+  void removeFromAddress(std::uint32_t Index);
+  void endReplacedUpstreams(const Endpoint &At);
+  bool hasReplaced(std::uint32_t Index, std::uint32_t From) const;
+  void setReplaced(std::uint32_t Index);
+  void clearHealthState();
+  void resetFlows(std::uint32_t Index);
+  void reportEvent(UpstreamEvent::Kind Kind, std::uint32_t Index) const;
+  void reportDecision(Decision::Kind Kind, const Packet &P, std::uint32_t Index,
+                      ErrorKind Why, std::size_t Candidates) const;
   void joinService(std::uint32_t Index, ServiceId Service);
   void leaveService(std::uint32_t Index);
-  std::uint32_t dueTick(Micros After) const;
-  std::string_view whyNotChosen(std::uint32_t Index, MonoTime Now) const;
+  std::uint32_t expiryTick(Micros After) const;
+  std::string_view exclusionReason(std::uint32_t Index, MonoTime Now) const;
 
   PacketBalancerOptions Options_;
   PacketCounters Counters_;
   RoutingTablePtr Routing_;
   UpstreamTable Upstreams_;
-  std::vector<Detail> Details_; ///< Same index as `Upstreams_`.
+  std::vector<UpstreamState> UpstreamStates_; ///< Same index as `Upstreams_`.
   std::unordered_map<std::uint32_t, ServiceState> Services_;
   std::set<std::string> EvacuatedHalls_;
-  ColdAdmission Cold_;
+  ColdAdmission ColdAdmission_;
   std::unordered_map<std::uint32_t, std::uint32_t> IndexOfCookie_;
   /// The upstreams that are or were published at an address.
   std::unordered_map<Endpoint, std::vector<std::uint32_t>, EndpointHash>
-      AtAddress_;
+      IndexesByAddress_;
   detail::PacketFlowTable Flows_;
   MonoTime Now_{};
   MonoTime ConfirmedAsOf_{};
-  MonoTime UnsettledUntil_{}; ///< The fabric may be moving flows.
-  MonoTime NextTickBy_ = MonoTime::max();
-  bool ListKnown_ = false;
-  bool InBulk_ = false; ///< Too many changes are told to name each.
+  MonoTime ReroutesUntil_{}; ///< The fabric may be moving flows.
+  MonoTime NextTickDeadline_ = MonoTime::max();
+  bool UpstreamsKnown_ = false;
+  bool BulkUpdate_ = false; ///< Too many changes are told to name each.
   bool Serving_ = true;
-  SilenceEvidence Evidence_;
+  SilenceEvidence UnansweredRequests_;
   SilenceEvidence ShortAnswers_;
-  AnswerSizes Sizes_;
+  AnswerSizes AnswerSizes_;
   std::size_t FleetSize_ = 1;
   detail::MovingAverageDelay
-      Openings_; ///< From opening to acknowledged answer.
+      OpeningDelay_; ///< From opening to acknowledged answer.
 };
 
 } // namespace thymewall
--- a/src/packet-balancer-upstreams.cc
+++ b/src/packet-balancer-upstreams.cc
@@ -10,63 +10,65 @@
 void PacketBalancer::Impl::applyUpstreams(
     MonoTime Now, const std::vector<UpstreamChange> &Changes, bool MayReturn) {
   Now_ = Now;
-  ListKnown_ = true;
-  InBulk_ = Changes.size() > MaxIndividualEvents;
+  UpstreamsKnown_ = true;
+  BulkUpdate_ = Changes.size() > MaxIndividualEvents;
   for (const UpstreamChange &Change : Changes) {
     if (Change.Ended_)
-      putEnded(Change);
+      addEnded(Change);
     else if (Change.Entry_)
-      put(Change);
+      addOrUpdate(Change);
     else
-      end(Change, MayReturn);
+      remove(Change, MayReturn);
   }
-  InBulk_ = false;
+  BulkUpdate_ = false;
 }
 
-void PacketBalancer::Impl::put(const UpstreamChange &Change) {
+void PacketBalancer::Impl::addOrUpdate(const UpstreamChange &Change) {
   const UpstreamEntry &Entry = *Change.Entry_;
-  Cookie Mark = cookieOf(Entry.Incarnation_);
-  auto Known = IndexOfCookie_.find(Mark);
-  bool Taken = Known != IndexOfCookie_.end() &&
-               Upstreams_[Known->second].Incarnation_ != Entry.Incarnation_;
+  Cookie UpstreamCookie = cookieOf(Entry.Incarnation_);
+  auto It = IndexOfCookie_.find(UpstreamCookie);
+  bool CookieTaken = It != IndexOfCookie_.end() &&
+                     Upstreams_[It->second].Incarnation_ != Entry.Incarnation_;
   // Two upstreams with one cookie: the earlier one keeps it, and the later one
   // gets no flows, since their packets could not be told apart.
-  if (Taken)
+  if (CookieTaken)
     return;
-  bool Fresh = Known == IndexOfCookie_.end();
-  if (!Fresh)
-    leaveAddress(Known->second);
-  std::uint32_t Index = Upstreams_.declareOne(
-      static_cast<UpstreamId>(Mark), Entry.At_, Entry.Slots_, Entry.WarmAt_);
-  if (Details_.size() <= Index)
-    Details_.resize(Index + 1);
-  IndexOfCookie_[Mark] = Index;
+  bool IsNew = It == IndexOfCookie_.end();
+  if (!IsNew)
+    removeFromAddress(It->second);
+  std::uint32_t Index =
+      Upstreams_.declareOne(static_cast<UpstreamId>(UpstreamCookie), Entry.At_,
+                            Entry.Slots_, Entry.WarmAt_);
+  if (UpstreamStates_.size() <= Index)
+    UpstreamStates_.resize(Index + 1);
+  IndexOfCookie_[UpstreamCookie] = Index;
   Upstreams_[Index].Incarnation_ = Entry.Incarnation_;
-  Upstreams_.setLeaving(static_cast<UpstreamId>(Mark), Entry.Draining_);
+  Upstreams_.setLeaving(static_cast<UpstreamId>(UpstreamCookie),
+                        Entry.Draining_);
   joinService(Index, Entry.Service_);
-  Detail &D = Details_[Index];
-  bool Restarted = !Fresh && D.BornMs_ != Entry.BornMs_;
-  D.BornMs_ = Entry.BornMs_;
+  UpstreamState &State = UpstreamStates_[Index];
+  bool Restarted = !IsNew && State.BornMs_ != Entry.BornMs_;
+  State.BornMs_ = Entry.BornMs_;
   if (Restarted)
-    restart(Index);
-  bool NewlyDraining = Entry.Draining_ && !D.Draining_;
-  bool Returned = D.Lapsed_ || D.Gone_;
-  D.DataHall_ = Entry.DataHall_;
-  Upstreams_.setEvacuated(Index, EvacuatedHalls_.count(D.DataHall_) != 0);
-  D.ColdUntil_ = Entry.WarmAt_;
-  D.Revision_ = Change.At_;
-  D.Draining_ = Entry.Draining_;
-  D.Lapsed_ = false;
-  D.Gone_ = false;
+    resetState(Index);
+  bool NewlyDraining = Entry.Draining_ && !State.Draining_;
+  bool Returned = State.Lapsed_ || State.Gone_;
+  State.DataHall_ = Entry.DataHall_;
+  Upstreams_.setEvacuated(Index, EvacuatedHalls_.count(State.DataHall_) != 0);
+  State.ColdUntil_ = Entry.WarmAt_;
+  State.Revision_ = Change.At_;
+  State.Draining_ = Entry.Draining_;
+  State.Lapsed_ = false;
+  State.Gone_ = false;
   if (Returned)
-    D.RecheckAt_ = Now_;
-  joinAddress(Index);
+    State.RecheckAt_ = Now_;
+  addToAddress(Index);
   if (Restarted)
-    believe(UpstreamEvent::Kind::Restarted, Index);
-  else if (Fresh || Returned)
-    believe(UpstreamEvent::Kind::Listed, Index);
+    reportEvent(UpstreamEvent::Kind::Restarted, Index);
+  else if (IsNew || Returned)
+    reportEvent(UpstreamEvent::Kind::Listed, Index);
   if (NewlyDraining)
-    believe(UpstreamEvent::Kind::Draining, Index);
+    reportEvent(UpstreamEvent::Kind::Draining, Index);
 }
 
 void PacketBalancer::Impl::applyEvacuations(
@@ -77,8 +79,8 @@
       EvacuatedHalls_.insert(Change.DataHall_);
     else
       EvacuatedHalls_.erase(Change.DataHall_);
-    for (std::uint32_t Index = 0; Index < Details_.size(); ++Index)
-      if (Details_[Index].DataHall_ == Change.DataHall_)
+    for (std::uint32_t Index = 0; Index < UpstreamStates_.size(); ++Index)
+      if (UpstreamStates_[Index].DataHall_ == Change.DataHall_)
         Upstreams_.setEvacuated(Index, Change.Evacuated_);
   }
 }
@@ -86,129 +88,131 @@
 /// A peer tells of an upstream that ended before this balancer heard of it. It
 /// may serve its flows on for many seconds; without its row their packets went
 /// nowhere (133 in ten seconds of restarts beside releases).
-void PacketBalancer::Impl::putEnded(const UpstreamChange &Change) {
+void PacketBalancer::Impl::addEnded(const UpstreamChange &Change) {
   if (indexOf(Change.Incarnation_) != UpstreamTable::None)
     return;
-  put(Change);
+  addOrUpdate(Change);
   std::uint32_t Index = indexOf(Change.Incarnation_);
   if (Index != UpstreamTable::None)
     setGone(Index);
 }
 
 std::uint32_t PacketBalancer::Impl::indexOf(Incarnation Which) const {
-  auto Known = IndexOfCookie_.find(cookieOf(Which));
-  bool Found = Known != IndexOfCookie_.end() &&
-               Upstreams_.rows()[Known->second].Incarnation_ == Which;
-  return Found ? Known->second : UpstreamTable::None;
+  auto It = IndexOfCookie_.find(cookieOf(Which));
+  bool Found = It != IndexOfCookie_.end() &&
+               Upstreams_.rows()[It->second].Incarnation_ == Which;
+  return Found ? It->second : UpstreamTable::None;
 }
 
 /// The upstream has started again under its incarnation: what was found out
 /// about the earlier start says nothing of this one. Open flows are forgotten
 /// and not reset: their packets reach the new start, which alone knows which of
 /// them it holds (one opened since its start looks the same from here).
-void PacketBalancer::Impl::restart(std::uint32_t Index) {
-  std::vector<FlowId> Earlier;
+void PacketBalancer::Impl::resetState(std::uint32_t Index) {
+  std::vector<FlowId> OldFlows;
   Flows_.forEach([&](const PacketFlowRow &Row) {
     if (Row.Upstream_ == Index)
-      Earlier.push_back(Row.Flow_);
+      OldFlows.push_back(Row.Flow_);
   });
-  for (FlowId Flow : Earlier)
+  for (FlowId Flow : OldFlows)
     endFlow(*Flows_.find(Flow));
   Upstreams_.forgetBeliefs(Index);
-  Evidence_.clear(Index);
+  UnansweredRequests_.clear(Index);
   ShortAnswers_.clear(Index);
-  Cold_.forget(Upstreams_[Index].Incarnation_);
-  Detail Fresh;
-  Detail &D = Details_[Index];
-  Fresh.Service_ = D.Service_;
-  Fresh.Member_ = D.Member_;
-  Fresh.BornMs_ = D.BornMs_;
-  Fresh.StartedAt_ = Now_;
-  D = Fresh;
+  ColdAdmission_.forget(Upstreams_[Index].Incarnation_);
+  UpstreamState NewState;
+  UpstreamState &State = UpstreamStates_[Index];
+  NewState.Service_ = State.Service_;
+  NewState.HasService_ = State.HasService_;
+  NewState.BornMs_ = State.BornMs_;
+  NewState.StartedAt_ = Now_;
+  State = NewState;
 }
 
 void PacketBalancer::Impl::joinService(std::uint32_t Index, ServiceId Service) {
-  Detail &D = Details_[Index];
-  if (D.Member_ && D.Service_ == Service)
+  UpstreamState &State = UpstreamStates_[Index];
+  if (State.HasService_ && State.Service_ == Service)
     return;
-  if (D.Member_)
+  if (State.HasService_)
     leaveService(Index);
-  D.Service_ = Service;
-  D.Member_ = true;
+  State.Service_ = Service;
+  State.HasService_ = true;
   Services_[raw(Service)].Members_.push_back(Index);
 }
 
 void PacketBalancer::Impl::leaveService(std::uint32_t Index) {
-  Detail &D = Details_[Index];
-  std::vector<std::uint32_t> &Of = Services_[raw(D.Service_)].Members_;
-  Of.erase(std::remove(Of.begin(), Of.end(), Index), Of.end());
-  D.Member_ = false;
+  UpstreamState &State = UpstreamStates_[Index];
+  std::vector<std::uint32_t> &Members = Services_[raw(State.Service_)].Members_;
+  Members.erase(std::remove(Members.begin(), Members.end(), Index),
+                Members.end());
+  State.HasService_ = false;
 }
 
-void PacketBalancer::Impl::end(const UpstreamChange &Change, bool MayReturn) {
+void PacketBalancer::Impl::remove(const UpstreamChange &Change,
+                                  bool MayReturn) {
   std::uint32_t Index = indexOf(Change.Incarnation_);
-  if (Index == UpstreamTable::None || Details_[Index].Gone_)
+  if (Index == UpstreamTable::None || UpstreamStates_[Index].Gone_)
     return;
-  Detail &D = Details_[Index];
-  D.Revision_ = Change.At_;
+  UpstreamState &State = UpstreamStates_[Index];
+  State.Revision_ = Change.At_;
   if (!MayReturn)
     return setGone(Index);
-  D.Lapsed_ = true;
-  D.LapsedUntil_ = Now_ + LapseTimeout;
-  believe(UpstreamEvent::Kind::Lapsed, Index);
+  State.Lapsed_ = true;
+  State.LapsedUntil_ = Now_ + LapseTimeout;
+  reportEvent(UpstreamEvent::Kind::Lapsed, Index);
 }
 
 void PacketBalancer::Impl::setGone(std::uint32_t Index) {
-  Detail &D = Details_[Index];
-  D.Lapsed_ = false;
-  D.Gone_ = true;
+  UpstreamState &State = UpstreamStates_[Index];
+  State.Lapsed_ = false;
+  State.Gone_ = true;
   // Its flows are still sent to it: it may live on for a while.
-  D.ForgetAt_ = Now_ + Options_.MaxFlowAge_;
+  State.ReleaseAt_ = Now_ + Options_.MaxFlowAge_;
   Upstreams_.withdraw(Index);
-  believe(UpstreamEvent::Kind::Gone, Index);
-  settleAddress(Upstreams_[Index].At_);
+  reportEvent(UpstreamEvent::Kind::Gone, Index);
+  endReplacedUpstreams(Upstreams_[Index].At_);
 }
 
 /// Ends what had a time: lapsed upstreams are gone, and gone ones forgotten.
 void PacketBalancer::Impl::expireUpstreams() {
-  for (std::uint32_t Index = 0; Index < Details_.size(); ++Index) {
-    Detail &D = Details_[Index];
-    if (D.Lapsed_ && D.LapsedUntil_ <= Now_)
+  for (std::uint32_t Index = 0; Index < UpstreamStates_.size(); ++Index) {
+    UpstreamState &State = UpstreamStates_[Index];
+    if (State.Lapsed_ && State.LapsedUntil_ <= Now_)
       setGone(Index);
     bool Unused = Upstreams_[Index].OwnFlows_ == 0;
-    if (D.Gone_ && D.ForgetAt_ <= Now_ && Unused)
-      forget(Index);
+    if (State.Gone_ && State.ReleaseAt_ <= Now_ && Unused)
+      forgetUpstream(Index);
   }
 }
 
-void PacketBalancer::Impl::forget(std::uint32_t Index) {
-  Detail &D = Details_[Index];
+void PacketBalancer::Impl::forgetUpstream(std::uint32_t Index) {
+  UpstreamState &State = UpstreamStates_[Index];
   IndexOfCookie_.erase(cookieOf(Upstreams_[Index].Incarnation_));
-  leaveAddress(Index);
+  removeFromAddress(Index);
   leaveService(Index);
-  Evidence_.clear(Index);
+  UnansweredRequests_.clear(Index);
   ShortAnswers_.clear(Index);
-  Cold_.forget(Upstreams_[Index].Incarnation_);
+  ColdAdmission_.forget(Upstreams_[Index].Incarnation_);
   Upstreams_.release(Index);
-  D = Detail{};
+  State = UpstreamState{};
 }
 
-void PacketBalancer::Impl::believe(UpstreamEvent::Kind Kind,
-                                   std::uint32_t Index) const {
-  bool Named = !InBulk_ || Kind == UpstreamEvent::Kind::Dead;
-  if (!Options_.OnUpstreamEvent_ || !Named)
+void PacketBalancer::Impl::reportEvent(UpstreamEvent::Kind Kind,
+                                       std::uint32_t Index) const {
+  bool Individually = !BulkUpdate_ || Kind == UpstreamEvent::Kind::Dead;
+  if (!Options_.OnUpstreamEvent_ || !Individually)
     return;
   const UpstreamRow &Up = Upstreams_.rows()[Index];
   Options_.OnUpstreamEvent_(
-      {Kind, Up.Incarnation_, Up.At_, Details_[Index].Revision_, 0, 0});
+      {Kind, Up.Incarnation_, Up.At_, UpstreamStates_[Index].Revision_, 0, 0});
 }
 
-std::string_view PacketBalancer::Impl::whyNotChosen(std::uint32_t Index,
-                                                    MonoTime Now) const {
-  const Detail &D = Details_[Index];
-  if (D.Gone_)
+std::string_view PacketBalancer::Impl::exclusionReason(std::uint32_t Index,
+                                                       MonoTime Now) const {
+  const UpstreamState &State = UpstreamStates_[Index];
+  if (State.Gone_)
     return "gone";
-  if (D.Draining_)
+  if (State.Draining_)
     return "draining";
   if (Upstreams_.rows()[Index].Evacuated_)
     return "evacuated";
@@ -226,11 +230,11 @@
   S.Flows_ = Flows_.size();
   S.MemoryBytes_ = Flows_.memory();
   S.EvacuatedHalls_.assign(EvacuatedHalls_.begin(), EvacuatedHalls_.end());
-  for (const auto &[Mark, Index] : IndexOfCookie_) {
-    const Detail &D = Details_[Index];
+  for (const auto &[UpstreamCookie, Index] : IndexOfCookie_) {
+    const UpstreamState &State = UpstreamStates_[Index];
     const UpstreamRow &Row = Upstreams_.rows()[Index];
-    S.Upstreams_.push_back({Row.Incarnation_, D.DataHall_, D.Service_, Row,
-                            whyNotChosen(Index, Now)});
+    S.Upstreams_.push_back({Row.Incarnation_, State.DataHall_, State.Service_,
+                            Row, exclusionReason(Index, Now)});
   }
   return S;
 }
--- a/src/packet-balancer.cc
+++ b/src/packet-balancer.cc
@@ -13,70 +13,70 @@
 namespace {
 
 /// Copies of an opening packet draw other candidates than the first one.
-constexpr std::uint64_t CopyDraw = 0x636f7079;
+constexpr std::uint64_t RetransmitDraw = 0x636f7079;
 /// The draw of a retry: the number of no copy that a caller sends.
 constexpr std::uint32_t RetryDraw = 0x80;
 
-bool opens(const Packet &P) { return P.Opens_ && !P.Acknowledges_; }
+bool isOpening(const Packet &P) { return P.Opens_ && !P.Acknowledges_; }
 
 /// What only a server's side sends: no caller's packet.
-bool fromServer(const Packet &P) { return P.Opens_ && P.Acknowledges_; }
+bool isFromServer(const Packet &P) { return P.Opens_ && P.Acknowledges_; }
 
 } // namespace
 
 PacketBalancer::Impl::Impl(PacketBalancerOptions Options)
-    : Options_(std::move(Options)), Upstreams_(detail::UnansweredToEject),
+    : Options_(std::move(Options)), Upstreams_(detail::OpeningFailuresToEject),
       Flows_(Options_.MaxFlows_) {}
 
 Verdict PacketBalancer::Impl::steer(MonoTime Now, const Packet &P) {
   Now_ = Now;
   ++Counters_.Packets_;
-  if (fromServer(P))
+  if (isFromServer(P))
     return refuse(P, ErrorKind::NotFromCaller);
   if (!Routing_)
     return refuse(P, ErrorKind::TableNotFresh);
   const std::vector<ServiceShare> *Shares = Routing_->find(P.Service_);
   if (!Shares) {
-    return refuse(P, fresh() ? ErrorKind::UnknownAddress
-                             : ErrorKind::TableNotFresh);
+    return refuse(P, isFresh() ? ErrorKind::UnknownAddress
+                               : ErrorKind::TableNotFresh);
   }
   FlowId Flow = flowOf(P);
-  return opens(P) ? open(P, Flow, *Shares) : follow(P, Flow);
+  return isOpening(P) ? open(P, Flow, *Shares) : routeByCookie(P, Flow);
 }
 
 Verdict PacketBalancer::Impl::refuse(const Packet &P, ErrorKind Why) {
   ++Counters_.Errors_[static_cast<std::size_t>(Why)];
-  decide(Decision::Kind::Refused, P, UpstreamTable::None, Why, 0);
+  reportDecision(Decision::Kind::Refused, P, UpstreamTable::None, Why, 0);
   bool Resets = errorRow(Why).Answer_ == Answer::Reset && !P.Resets_;
   if (!Resets)
     return Dropped{Why};
   ++Counters_.Resets_;
-  std::uint32_t Sequence = opens(P) ? 0 : P.Acknowledged_;
+  std::uint32_t Sequence = isOpening(P) ? 0 : P.Acknowledged_;
   return ResetFlow{P.Caller_, P.Service_, Sequence, Why};
 }
 
 Verdict PacketBalancer::Impl::open(const Packet &P, FlowId Flow,
                                    const std::vector<ServiceShare> &Shares) {
-  std::uint32_t Copy = P.Acknowledged_;
-  std::uint32_t Before = UpstreamTable::None;
+  std::uint32_t Attempt = P.Acknowledged_;
+  std::uint32_t Previous = UpstreamTable::None;
   PacketFlowRow *Row = Flows_.find(Flow);
-  if (Row && Copy > 0 && !Row->Open_) {
-    Before = Row->Upstream_;
+  if (Row && Attempt > 0 && !Row->Open_) {
+    Previous = Row->Upstream_;
     if (Now_ - Row->Since_ >= openingTimeout())
-      noteSilence(Before);
+      recordUnansweredOpening(Previous);
   }
   ServiceId Service = drawService(Shares, Flow);
-  std::uint32_t Index = choose(Service, Flow, Copy, Before);
+  std::uint32_t Index = choose(Service, Flow, Attempt, Previous);
   if (Index == UpstreamTable::None)
-    return refuse(P, whyNone(Service));
-  ++(Copy == 0 ? Counters_.Opened_ : Counters_.OpenMoved_);
-  return sendOpening(Copy == 0 ? Decision::Kind::Opened
-                               : Decision::Kind::OpenMoved,
+    return refuse(P, noCandidateError(Service));
+  ++(Attempt == 0 ? Counters_.Opened_ : Counters_.OpenMoved_);
+  return sendOpening(Attempt == 0 ? Decision::Kind::Opened
+                                  : Decision::Kind::OpenMoved,
                      P, Flow, Index);
 }
 
 /// Whether what is known is recent enough to refuse a caller by it.
-bool PacketBalancer::Impl::fresh() const {
+bool PacketBalancer::Impl::isFresh() const {
   return Now_ - ConfirmedAsOf_ < Options_.MaxStalenessForReset_ ||
          !detail::isEnabled(detail::Mechanism::StalenessLimit);
 }
@@ -84,11 +84,11 @@
 /// Where an evacuation or the limit of cold upstreams is why nobody takes a
 /// flow, its caller is told at once; else upstreams may be published in a
 /// moment, and the opening waits.
-ErrorKind PacketBalancer::Impl::whyNone(ServiceId Service) const {
-  auto Known = Services_.find(raw(Service));
-  if (Known == Services_.end() || !fresh())
+ErrorKind PacketBalancer::Impl::noCandidateError(ServiceId Service) const {
+  auto It = Services_.find(raw(Service));
+  if (It == Services_.end() || !isFresh())
     return ErrorKind::NoneLeft;
-  const std::vector<std::uint32_t> &Members = Known->second.Members_;
+  const std::vector<std::uint32_t> &Members = It->second.Members_;
   bool Evacuated =
       std::any_of(Members.begin(), Members.end(), [this](std::uint32_t Index) {
         const UpstreamRow &Row = Upstreams_.rows()[Index];
@@ -96,7 +96,8 @@
       });
   if (Evacuated)
     return ErrorKind::AllEvacuated;
-  return Known->second.Cold_.empty() ? ErrorKind::NoneLeft : ErrorKind::AllCold;
+  return It->second.ColdMembers_.empty() ? ErrorKind::NoneLeft
+                                         : ErrorKind::AllCold;
 }
 
 Verdict PacketBalancer::Impl::retryOpening(MonoTime Now, const Packet &P) {
@@ -105,57 +106,58 @@
   const std::vector<ServiceShare> *Shares =
       Routing_ ? Routing_->find(P.Service_) : nullptr;
   const PacketFlowRow *Row = Flows_.find(Flow);
-  bool Retries = detail::isEnabled(detail::Mechanism::OpeningRetries);
-  if (!Retries || !Shares || !Row || Row->Open_)
+  bool RetryEnabled = detail::isEnabled(detail::Mechanism::OpeningRetries);
+  if (!RetryEnabled || !Shares || !Row || Row->Open_)
     return Dropped{};
-  std::uint32_t Before = Row->Upstream_;
+  std::uint32_t Previous = Row->Upstream_;
   if (Serving_)
-    noteSilence(Before);
+    recordUnansweredOpening(Previous);
   std::uint32_t Index =
-      choose(drawService(*Shares, Flow), Flow, RetryDraw, Before);
-  if (Index == UpstreamTable::None || Index == Before)
+      choose(drawService(*Shares, Flow), Flow, RetryDraw, Previous);
+  if (Index == UpstreamTable::None || Index == Previous)
     return Dropped{};
   ++Counters_.OpenRetried_;
   return sendOpening(Decision::Kind::OpenRetried, P, Flow, Index);
 }
 
 /// An opening got no answer from the upstream.
-void PacketBalancer::Impl::noteSilence(std::uint32_t Index) {
-  suspect(Index);
-  check(Index);
+void PacketBalancer::Impl::recordUnansweredOpening(std::uint32_t Index) {
+  recordOpeningFailure(Index);
+  requestCheck(Index);
 }
 
 Forward PacketBalancer::Impl::sendOpening(Decision::Kind Kind, const Packet &P,
                                           FlowId Flow, std::uint32_t Index) {
-  noteOpening(P, Flow, Index);
-  ServiceId Service = Details_[Index].Service_;
-  decide(Kind, P, Index, ErrorKind::None,
-         Services_[raw(Service)].Eligible_.size());
+  recordOpening(P, Flow, Index);
+  ServiceId Service = UpstreamStates_[Index].Service_;
+  reportDecision(Kind, P, Index, ErrorKind::None,
+                 Services_[raw(Service)].Eligible_.size());
   const UpstreamRow &Up = Upstreams_[Index];
   return {Up.At_, Up.Incarnation_, cookieOf(Up.Incarnation_)};
 }
 
 std::uint32_t PacketBalancer::Impl::choose(ServiceId Service, FlowId Flow,
-                                           std::uint32_t Copy,
+                                           std::uint32_t Attempt,
                                            std::uint32_t Avoid) {
-  auto Known = Services_.find(raw(Service));
-  if (Known == Services_.end())
+  auto It = Services_.find(raw(Service));
+  if (It == Services_.end())
     return UpstreamTable::None;
-  const Eligible &Among = eligible(Service, Known->second);
-  FlowId Drawn = Flow;
-  if (Copy > 0)
-    Drawn = static_cast<FlowId>(hashPair(raw(Flow), CopyDraw + Copy));
+  const Eligible &Candidates = eligible(Service, It->second);
+  FlowId DrawKey = Flow;
+  if (Attempt > 0)
+    DrawKey =
+        static_cast<FlowId>(hashPair(raw(Flow), RetransmitDraw + Attempt));
   std::uint32_t Cold =
-      chooseCold(Known->second, Drawn, coldLimit(Service), Avoid);
-  if (Cold != UpstreamTable::None || Among.empty())
+      chooseCold(It->second, DrawKey, coldLimit(Service), Avoid);
+  if (Cold != UpstreamTable::None || Candidates.empty())
     return Cold;
-  Choice C{{Service, Drawn}, Among, Upstreams_.rows(), Now_};
-  std::uint32_t Index = Among.Indexes_[Options_.Chooser_(C)];
+  Choice C{{Service, DrawKey}, Candidates, Upstreams_.rows(), Now_};
+  std::uint32_t Index = Candidates.Indexes_[Options_.Chooser_(C)];
   if (Index != Avoid)
     return Index;
   auto [First, Second] = candidates(C);
-  std::size_t Other = Among.Indexes_[First] == Avoid ? Second : First;
-  return Among.Indexes_[Other];
+  std::size_t Other = Candidates.Indexes_[First] == Avoid ? Second : First;
+  return Candidates.Indexes_[Other];
 }
 
 const Eligible &PacketBalancer::Impl::eligible(ServiceId Service,
@@ -170,7 +172,7 @@
     if (Upstreams_[Index].Declared_)
       Selected.push_back(Index);
   Upstreams_.eligibleNow(Selected, Now_, State.Eligible_);
-  partCold(State, coldLimit(Service));
+  separateCold(State, coldLimit(Service));
   State.Generation_ = Upstreams_.generation();
   State.Routing_ = Routing_->Version_;
   return State.Eligible_;
@@ -178,27 +180,27 @@
 
 ColdLimit PacketBalancer::Impl::coldLimit(ServiceId Service) const {
   ColdLimit Limit = Options_.Cold_;
-  bool Limits = detail::isEnabled(detail::Mechanism::ColdLimits);
-  Limit.PerSecond_ = Limits ? Routing_->coldPerSecond(Service) : 0;
+  bool LimitEnabled = detail::isEnabled(detail::Mechanism::ColdLimits);
+  Limit.PerSecond_ = LimitEnabled ? Routing_->coldPerSecond(Service) : 0;
   return Limit;
 }
 
 /// Takes the cold upstreams of a service that limits them out of its
 /// candidates.
-void PacketBalancer::Impl::partCold(ServiceState &State,
-                                    const ColdLimit &Limit) {
-  State.Cold_.clear();
+void PacketBalancer::Impl::separateCold(ServiceState &State,
+                                        const ColdLimit &Limit) {
+  State.ColdMembers_.clear();
   State.WarmAt_ = MonoTime::max();
   if (!Limit.given())
     return;
   Eligible Warm;
   for (std::uint32_t Index : State.Eligible_.Indexes_) {
-    MonoTime ColdUntil = Details_[Index].ColdUntil_;
+    MonoTime ColdUntil = UpstreamStates_[Index].ColdUntil_;
     if (ColdUntil <= Now_) {
       Warm.add(Index, Upstreams_[Index].Slots_);
       continue;
     }
-    State.Cold_.push_back(Index);
+    State.ColdMembers_.push_back(Index);
     State.WarmAt_ = std::min(State.WarmAt_, ColdUntil);
   }
   State.Eligible_ = std::move(Warm);
@@ -211,13 +213,13 @@
                                                FlowId Flow,
                                                const ColdLimit &Limit,
                                                std::uint32_t Avoid) {
-  std::size_t Count = State.Cold_.size();
+  std::size_t Count = State.ColdMembers_.size();
   for (std::size_t I = 0; I < Count; ++I) {
-    std::uint32_t Index = State.Cold_[(raw(Flow) + I) % Count];
+    std::uint32_t Index = State.ColdMembers_[(raw(Flow) + I) % Count];
     Incarnation Which = Upstreams_[Index].Incarnation_;
-    if (Index == Avoid || !Cold_.admits(Now_, Which, Limit))
+    if (Index == Avoid || !ColdAdmission_.admits(Now_, Which, Limit))
       continue;
-    Cold_.opened(Now_, Which, Limit);
+    ColdAdmission_.opened(Now_, Which, Limit);
     return Index;
   }
   return UpstreamTable::None;
@@ -228,12 +230,12 @@
 /// opened under one would get no answer. An upstream refuses flows that it
 /// doesn't hold, and only openings, which the table decides, make it hold one.
 /// Gain: 2.7% of requests while all balancers restart after a change of routes.
-Verdict PacketBalancer::Impl::follow(const Packet &P, FlowId Flow) {
-  auto Known = IndexOfCookie_.find(P.Cookie_);
-  if (Known == IndexOfCookie_.end())
+Verdict PacketBalancer::Impl::routeByCookie(const Packet &P, FlowId Flow) {
+  auto It = IndexOfCookie_.find(P.Cookie_);
+  if (It == IndexOfCookie_.end())
     return refuse(P, ErrorKind::UnknownCookie);
-  std::uint32_t Index = Known->second;
-  noteProgress(P, Flow, Index);
+  std::uint32_t Index = It->second;
+  recordProgress(P, Flow, Index);
   const UpstreamRow &Up = Upstreams_[Index];
   return Forward{Up.At_, Up.Incarnation_, P.Cookie_};
 }
@@ -244,11 +246,11 @@
   Routing_ = std::move(Table);
   // Services that it names may be those of upstreams at a shared address.
   std::vector<Endpoint> Shared;
-  for (const auto &[At, Rows] : AtAddress_)
+  for (const auto &[At, Rows] : IndexesByAddress_)
     if (Rows.size() > 1)
       Shared.push_back(At);
   for (const Endpoint &At : Shared)
-    settleAddress(At);
+    endReplacedUpstreams(At);
 }
 
 /// Three times the usual, so that callers far away don't cost two connections
@@ -256,28 +258,29 @@
 /// 1937 retries, this makes 77.
 Micros PacketBalancer::Impl::openingTimeout() const {
   constexpr int Times = 3;
-  return std::min(Openings_.multiple(Times, UnansweredOpenings::MinTimeout),
-                  UnansweredOpenings::MaxTimeout);
+  return std::min(
+      OpeningDelay_.multiple(Times, UnansweredOpenings::MinTimeout),
+      UnansweredOpenings::MaxTimeout);
 }
 
 void PacketBalancer::Impl::tick(MonoTime Now) {
   Now_ = Now;
-  if (Now > NextTickBy_) {
+  if (Now > NextTickDeadline_) {
     ++Counters_.LateWakes_;
     ConfirmedAsOf_ = MonoTime{}; // whatever was known may be over
-    forgetBeliefs();
+    clearHealthState();
   }
-  NextTickBy_ = Now + TickInterval + LateTickThreshold;
-  Flows_.expire(dueTick(Micros(0)),
-                [this](const PacketFlowRow &Row) { countOut(Row); });
+  NextTickDeadline_ = Now + TickInterval + LateTickThreshold;
+  Flows_.expire(expiryTick(Micros(0)),
+                [this](const PacketFlowRow &Row) { subtractLoad(Row); });
   expireUpstreams();
-  checkDue();
-  noteStalls();
+  runDueChecks();
+  detectStalls();
 }
 
-void PacketBalancer::Impl::decide(Decision::Kind Kind, const Packet &P,
-                                  std::uint32_t Index, ErrorKind Why,
-                                  std::size_t Candidates) const {
+void PacketBalancer::Impl::reportDecision(Decision::Kind Kind, const Packet &P,
+                                          std::uint32_t Index, ErrorKind Why,
+                                          std::size_t Candidates) const {
   if (!Options_.OnDecision_)
     return;
   Decision D;
