--- a/include/thymewall/held-packets.h
+++ b/include/thymewall/held-packets.h
@@ -1,7 +1,7 @@
 /// \file
-/// Packets that arrive before a balancer knows where to send them, since it has
-/// just started or the upstreams are not published yet: kept for a moment, as a
-/// caller's next copy comes only after 200 ms to 1.6 s.
+/// Buffer for packets that arrive before the balancer has a routing table or an
+/// upstream for them. Without it each would cost its caller a retransmission
+/// timeout of 200 ms to 1.6 s.
 #ifndef THYMEWALL_HELD_PACKETS_H
 #define THYMEWALL_HELD_PACKETS_H
 
@@ -13,21 +13,24 @@
 
 namespace thymewall {
 
+/// FIFO of undelivered packets, bounded in age and number.
 class HeldPackets {
 public:
-  /// An opening that is older has been given up by its caller after 1.4 s.
+  /// Packets older than this are dropped. Callers give up on an opening packet
+  /// after 1.4 s.
   static constexpr Micros MaxAge = std::chrono::milliseconds(1200);
-  /// About what arrives at an entry host of today in that time, twice.
+  /// About twice the number of packets that a host receives in `MaxAge`.
   static constexpr std::size_t MaxPackets = 2048;
 
-  /// False for a packet that still can't be sent on.
+  /// Returns false if the packet cannot be forwarded yet.
   using SendFunction =
       std::function<bool(const std::uint8_t *Data, std::size_t Size)>;
 
-  /// Keeps a copy; the oldest goes when there are too many.
+  /// Stores a copy of the packet, dropping the oldest one if the buffer is
+  /// full.
   void hold(MonoTime Now, const std::uint8_t *Data, std::size_t Size);
-  /// Gives every packet that is not too old to \p TrySend, oldest first, and
-  /// keeps those that it does not take.
+  /// Passes every packet that has not expired to \p TrySend, oldest first, and
+  /// keeps those for which it returns false.
   void release(MonoTime Now, const SendFunction &TrySend);
   std::size_t size() const { return Packets_.size(); }
 
--- a/include/thymewall/packet-balancer.h
+++ b/include/thymewall/packet-balancer.h
@@ -1,8 +1,7 @@
 /// \file
-/// The decisions of a packet balancer: a caller's packet and the time go in,
-/// and what to do with the packet comes out. Answers do not pass here:
-/// upstreams send them to the caller directly. No socket, thread, clock or
-/// randomness.
+/// Decides for each packet of a caller where it is forwarded. Answers do not
+/// pass through the balancer; upstreams send them to the caller directly
+/// (direct server return). Uses no socket, thread, clock or random numbers.
 ///
 ///   PacketBalancer B = PacketBalancerBuilder().build();
 ///   B.setRouting(Now, Table);
@@ -25,87 +24,88 @@
 
 namespace thymewall {
 
-/// Send the packet on with this cookie in it.
+/// Forward the packet with this cookie.
 struct Forward {
   Endpoint To_;
-  Incarnation Upstream_{}; ///< Only this start of the upstream may take it.
+  Incarnation Upstream_{}; ///< The only incarnation that accepts it.
   Cookie Cookie_ = 0;
 };
-/// Tell the caller that its flow is over.
+/// Send the caller a reset of its flow.
 struct ResetFlow {
   Endpoint Caller_;
   Endpoint Service_;
-  std::uint32_t Sequence_ = 0; ///< One that the caller accepts.
+  std::uint32_t Sequence_ = 0; ///< A number that the caller accepts.
   ErrorKind Error_ = ErrorKind::None;
 };
+/// Drop the packet.
 struct Dropped {
   ErrorKind Error_ = ErrorKind::None;
 };
 using Verdict = std::variant<Forward, ResetFlow, Dropped>;
 
-/// A decision about a flow, with what decided it; for logs.
+/// A decision on a packet and its reasons, for logs.
 struct Decision {
   enum class Kind : std::uint8_t {
-    Opened,      ///< First opening packet, sent to an upstream.
-    OpenMoved,   ///< A copy of the opening packet, sent to another one.
-    OpenRetried, ///< The opening packet itself, unanswered, sent to another.
-    Followed,    ///< First data here of a flow that another balancer opened.
-    Refused      ///< Reset or dropped; `Error_` tells.
+    Opened,      ///< First opening packet.
+    OpenMoved,   ///< Opening packet that the caller retransmitted.
+    OpenRetried, ///< Unanswered opening packet, sent to another upstream.
+    Followed,    ///< First data of a flow that another balancer opened.
+    Refused      ///< Reset or dropped because of `Error_`.
   };
   Kind Kind_ = Kind::Opened;
   Endpoint Caller_;
   Endpoint Service_;
   Incarnation Upstream_{};
   ErrorKind Error_ = ErrorKind::None;
-  std::uint32_t Candidates_ = 0; ///< Upstreams that could take new flows.
+  std::uint32_t Candidates_ = 0; ///< Number of eligible upstreams.
   Version RoutingVersion_ = 0;
-  bool HasConfirmation_ = false; ///< Anything was ever confirmed.
-  Micros KnowledgeAge_{};        ///< Since what is known was last confirmed.
+  bool HasConfirmation_ = false; ///< Whether any state was ever confirmed.
+  Micros KnowledgeAge_{};        ///< Time since the last confirmation.
 };
 using DecisionHook = std::function<void(const Decision &)>;
 
-/// A change in what is believed of an upstream; for logs.
+/// A change of an upstream's state, for logs.
 struct UpstreamEvent {
   enum class Kind : std::uint8_t {
-    Listed,
-    Restarted, ///< Under its incarnation; what was believed of it is void.
+    Listed,    ///< Published for the first time or again.
+    Restarted, ///< Started again under its incarnation.
     Draining,
-    Lapsed,
-    Gone,
-    Ejected,
-    Stalled, ///< It leaves more requests unanswered than chance explains.
-    Failing, ///< It gives more short answers than chance explains.
-    Checked, ///< It was suspected, and lives.
-    Dead     ///< Its flows are given up.
+    Lapsed,  ///< Missing from the list; may return within `LapseTimeout`.
+    Gone,    ///< No longer published.
+    Ejected, ///< Left openings unanswered.
+    Stalled, ///< Left requests unanswered.
+    Failing, ///< Gave short answers.
+    Checked, ///< A check found it alive.
+    Dead     ///< Its flows are reset.
   };
   Kind Kind_ = Kind::Listed;
   Incarnation Upstream_{};
   Endpoint At_;
   Revision Revision_ = 0;
-  /// Requests that led to `Stalled` or `Failing`, and how many were needed.
+  /// For `Stalled` and `Failing`: number of bad requests and the threshold.
   std::size_t Evidence_ = 0;
   std::size_t Needed_ = 0;
 };
 using UpstreamEventHook = std::function<void(const UpstreamEvent &)>;
 
-/// Asks for proof that an upstream lives: a TCP connection to its address.
+/// Request for a liveness check, which is a TCP connection to the upstream.
 struct UpstreamCheck {
   Incarnation Upstream_{};
   Endpoint At_;
 };
 using CheckHook = std::function<void(const UpstreamCheck &)>;
-/// Evidence against an upstream that peers should have.
+/// Called with evidence against an upstream that is to be sent to peers.
 using WarningHook = std::function<void(const UpstreamWarning &)>;
-/// What came of a check.
+/// Result of a liveness check.
 enum class CheckResult : std::uint8_t {
-  Connected, ///< Something accepts connections there.
-  Dead,      ///< Refused, or silent for as long as a check lasts.
-  Unclear    ///< The check itself was disturbed.
+  Connected, ///< The address accepts connections.
+  Dead,      ///< Connection refused or timed out.
+  Unclear    ///< The check itself failed.
 };
-/// Called with each flow that is given up because its upstream is dead.
+/// Called with each flow that is reset because its upstream is dead.
 using ResetHook = std::function<void(const ResetFlow &)>;
 
-/// What a delay was measured of.
+/// Interval that a delay measures.
 enum class DelayClass : std::uint8_t {
   Open,   ///< From the opening packet to the caller's acknowledgement.
   Request ///< From a request's data to the first acknowledged answer.
@@ -113,7 +113,7 @@
 using PacketDelayHook =
     std::function<void(ServiceId Service, DelayClass Class, Micros Delay)>;
 
-/// Totals since the start of the process.
+/// Event counts since the start of the process.
 struct PacketCounters {
   std::array<std::uint64_t, static_cast<std::size_t>(ErrorKind::Count)>
       Errors_{};
@@ -124,19 +124,19 @@
   std::uint64_t Followed_ = 0;
   std::uint64_t Resets_ = 0;
   std::uint64_t Checks_ = 0;
-  std::uint64_t Dead_ = 0; ///< Upstreams held to be dead.
+  std::uint64_t Dead_ = 0; ///< Upstreams declared dead.
   std::uint64_t Stalled_ = 0;
   std::uint64_t Failing_ = 0;
   std::uint64_t LateWakes_ = 0;
 };
 
-/// An upstream as operators see it.
+/// State of an upstream for status pages.
 struct UpstreamStatus {
   Incarnation Incarnation_{};
   std::string DataHall_;
   ServiceId Service_{};
   UpstreamRow Row_;
-  /// Why it takes no new flow now; empty when it takes them.
+  /// Why it gets no new flows; empty if it gets them.
   std::string_view ExclusionReason_;
 };
 
@@ -149,40 +149,42 @@
   std::vector<UpstreamStatus> Upstreams_;
 };
 
-/// Settings of a packet balancer; the defaults suit an entry host of today.
+/// Options of a packet balancer.
 struct PacketBalancerOptions {
   Chooser Chooser_ = chooseTwoInProgress;
   DecisionHook OnDecision_;
   UpstreamEventHook OnUpstreamEvent_;
   PacketDelayHook OnDelay_;
-  CheckHook OnCheck_; ///< Without it no upstream is ever held to be dead.
+  CheckHook OnCheck_; ///< If empty, no upstream is declared dead.
   ResetHook OnReset_;
   WarningHook OnWarning_;
-  /// An unknown address is reset only if all that was published this long ago
-  /// is known; from the time within which a routing table must be in force.
+  /// Packets to an unknown address are reset only while the last confirmation
+  /// of the state is younger than this. Otherwise they are dropped, since the
+  /// address may have been published meanwhile.
   Micros MaxStalenessForReset_ = std::chrono::milliseconds(2500);
-  /// A flow older than this may be forgotten, and so may its upstream.
+  /// Lifetime of a flow's row and of a removed upstream's row.
   Micros MaxFlowAge_ = std::chrono::seconds(60);
   std::uint32_t MaxFlows_ = 200'000;
-  /// `Over_` and `Slack_` hold for every service that publishes a limit.
+  /// `Over_` and `Slack_` apply to every service that publishes a limit.
   ColdLimit Cold_;
 };
 
 class PacketBalancer {
 public:
   static constexpr Micros TickInterval = std::chrono::milliseconds(250);
-  /// A tick this late means that the process has not run meanwhile.
+  /// A tick this late means that the process was suspended.
   static constexpr Micros LateTickThreshold = std::chrono::milliseconds(1000);
-  /// How long an upstream may be missing after the configuration service was
-  /// away before it is gone: those that live are back within 2 s.
+  /// How long an upstream may be missing from the list after an outage of the
+  /// configuration service. Live upstreams publish themselves again within 2 s.
   static constexpr Micros LapseTimeout = std::chrono::milliseconds(2000);
 
-  /// Changes told at once of which beliefs name each upstream: a list of
-  /// thousands at a start would drop all other lines.
+  /// Largest update whose upstreams are reported as one event each. The initial
+  /// list of thousands would displace all other log lines.
   static constexpr std::size_t MaxIndividualEvents = 16;
 
-  /// The fabric leads flows to a host 0.5 to 1 s after its start; what was
-  /// under way then is missed 0.6 s later, and counts for 2 s.
+  /// How long after the start of a balancer the fabric may still move flows
+  /// between balancers. Their answers are acknowledged elsewhere, so that
+  /// upstreams seem silent here.
   static constexpr Micros RerouteSettleTime = std::chrono::milliseconds(2500);
 
   explicit PacketBalancer(PacketBalancerOptions Options);
@@ -190,55 +192,57 @@
   PacketBalancer &operator=(PacketBalancer &&) noexcept;
   ~PacketBalancer();
 
+  /// Decides what happens to a packet.
   Verdict steer(MonoTime Now, const Packet &P);
-  /// Where \p P, which `steer` sent to an upstream, is to be sent once more
-  /// because it opens a flow and nobody has answered yet. `Dropped` without an
-  /// error when that is not needed or there is no other upstream.
+  /// Chooses another upstream for an opening packet that `steer` forwarded and
+  /// that is still unanswered. Returns `Dropped` without an error if it was
+  /// answered or there is no other upstream.
   Verdict retryOpening(MonoTime Now, const Packet &P);
-  /// Puts a routing table in force; an older one is ignored.
+  /// Replaces the routing table; ignores one that is not newer.
   void setRouting(MonoTime Now, RoutingTablePtr Table);
-  /// \p MayReturn: the configuration service was away, so upstreams that are
-  /// missing count as gone only after `LapseTimeout`.
+  /// Applies changes of the upstream list. With \p MayReturn, which is set
+  /// after an outage of the configuration service, missing upstreams are
+  /// removed only after `LapseTimeout`.
   void applyUpstreams(MonoTime Now, const std::vector<UpstreamChange> &Changes,
                       bool MayReturn = false);
-  /// From now on an evacuated hall gets no opening, nor a copy or a retry of
-  /// one; open flows stay where they are.
+  /// Applies changes of the evacuated data halls. Their upstreams get no
+  /// opening packets, retransmitted or retried ones included; open flows stay.
   void applyEvacuations(MonoTime Now,
                         const std::vector<EvacuationChange> &Changes);
-  /// The answer to a check that began at \p Began.
+  /// Handles the result of a liveness check that began at \p Began.
   void onCheckResult(MonoTime Now, Incarnation Upstream, CheckResult Result,
                      MonoTime Began);
-  /// A peer has evidence against an upstream. A dead one is checked here too,
-  /// at the next tick. One that left a peer's request unanswered gets no new
-  /// flows for a while, unless it has just answered here; while flows are moved
-  /// it takes more requests than chance explains, two at least. So it does
-  /// always for one whose answers are short.
+  /// Handles a peer's evidence against an upstream. A `Dead` one is checked at
+  /// the next tick. `Stalled` counts as an unanswered request, unless the
+  /// upstream has answered here recently; `Failing` counts as a short answer.
+  /// Either may lead to an ejection.
   void onPeerWarning(MonoTime Now, const UpstreamWarning &M);
-  /// All that was published up to \p AsOf is known.
+  /// Records that all state published up to \p AsOf is known.
   void confirmUpTo(MonoTime AsOf);
-  /// Whether the fabric is asked to send callers here. While it is not, a
-  /// flow's next packet comes to another balancer, so that silence here says
-  /// nothing of an upstream.
+  /// Sets whether this balancer announces itself to the fabric. If not, packets
+  /// of its flows reach other balancers, so that a missing answer is no
+  /// evidence against an upstream.
   void setServing(bool Serving);
-  /// How many balancers share the callers, this one among them.
+  /// Sets the number of balancers in the fleet, including this one.
   void setFleetSize(std::size_t Balancers);
-  /// A balancer has come \p At, so that the fabric leads flows from others to
-  /// it: silence within `RerouteSettleTime` may be theirs.
+  /// Records that a balancer joined at \p At. The fabric moves flows to it, so
+  /// that missing answers are weak evidence for `RerouteSettleTime`.
   void onBalancerJoined(MonoTime At);
+  /// Runs expiry, checks and failure detection; call it every `TickInterval`.
   void tick(MonoTime Now);
-  /// The fleet as it is believed to be, about at every tick: parts the limits
-  /// of cold upstreams. Without it they get no flow that has a limit.
+  /// Sets the members of the fleet, among which the limits of cold upstreams
+  /// are divided. Until it is set, cold upstreams with a limit get no flows.
   void setFleet(FleetView View);
-  /// Whether any service limits its cold upstreams, so that the fleet matters.
+  /// Returns whether any service limits new flows to its cold upstreams.
   bool hasColdLimits() const;
-  /// Changes these options.
+  /// Replaces the options of the same names.
   void setLimits(Micros MaxStalenessForReset, Micros MaxFlowAge,
                  double ColdOver, double ColdSlack);
 
-  /// How long an opening may stay unanswered before it is worth a retry: what
-  /// openings usually take here decides.
+  /// Returns the retry timeout of opening packets, which follows the measured
+  /// opening delay.
   Micros openingTimeout() const;
-  /// True once a routing table and a list of upstreams are in hand.
+  /// Returns whether a routing table and an upstream list are present.
   bool ready() const;
   const PacketCounters &counters() const;
   PacketStatus status(MonoTime Now) const;
--- a/include/thymewall/packet.h
+++ b/include/thymewall/packet.h
@@ -1,7 +1,6 @@
 /// \file
-/// A caller's packet as the packet balancer sees it: who sent it, to which
-/// service address, and the few transport fields that decisions need. Data and
-/// everything else stay in the datagram, which is sent on as it came.
+/// Header fields of a caller's packet that the packet balancer uses. The
+/// payload stays in the original datagram, which is forwarded unchanged.
 #ifndef THYMEWALL_PACKET_H
 #define THYMEWALL_PACKET_H
 
@@ -9,17 +8,17 @@
 
 namespace thymewall {
 
-/// The 32 bits that a flow's two ends return with every packet. A balancer sets
-/// it to the identifier of the flow's upstream; 0 is none.
+/// A 32-bit value that both ends of a flow echo in every packet. Balancers set
+/// it to the identifier of the flow's upstream; 0 means none.
 using Cookie = std::uint32_t;
 
 struct Packet {
   Endpoint Caller_;
-  Endpoint Service_; ///< The address and port that the caller wants.
+  Endpoint Service_; ///< Destination address and port.
   Cookie Cookie_ = 0;
   std::uint32_t Sequence_ = 0;
-  /// The last byte of the answer that the caller has, or, when opening, which
-  /// copy of the opening packet this is (0 is the first).
+  /// Acknowledgement number. In an opening packet: the number of times that the
+  /// caller has retransmitted it.
   std::uint32_t Acknowledged_ = 0;
   std::uint16_t DataSize_ = 0;
   bool Opens_ = false;        ///< SYN.
@@ -37,8 +36,8 @@
   return Fields(A) == Fields(B);
 }
 
-/// 64-bit hash of the caller and the service address: the flow's name at every
-/// balancer.
+/// Returns the 64-bit hash of the caller and service addresses, which
+/// identifies the flow at every balancer.
 FlowId flowOf(const Packet &P);
 
 } // namespace thymewall
--- a/include/thymewall/unanswered-openings.h
+++ b/include/thymewall/unanswered-openings.h
@@ -1,6 +1,7 @@
 /// \file
-/// Opening packets that were sent to an upstream a moment ago. One that stays
-/// unanswered is sent to another upstream, long before its caller sends a copy.
+/// Opening packets that await an answer from their upstream. After a timeout
+/// that is shorter than the caller's retransmission timeout they can be sent to
+/// another upstream.
 #ifndef THYMEWALL_UNANSWERED_OPENINGS_H
 #define THYMEWALL_UNANSWERED_OPENINGS_H
 
@@ -12,33 +13,37 @@
 
 namespace thymewall {
 
+/// Queue of recently forwarded opening packets with their deadlines.
 class UnansweredOpenings {
 public:
-  /// The caller's acknowledgement takes 5 to 12 ms (3 ms to callers, 2 ms
-  /// between data halls), on a host five times slower about 20 ms.
+  /// Lower bound of the timeout, used until delays are measured. The caller's
+  /// acknowledgement usually takes 5 to 12 ms.
   static constexpr Micros MinTimeout = std::chrono::milliseconds(40);
-  /// Less would be no gain over the caller's own copy.
+  /// Upper bound of the timeout. A longer one would gain too little over the
+  /// caller's own retransmission.
   static constexpr Micros MaxTimeout = std::chrono::milliseconds(160);
-  /// The caller sends a copy itself after this long.
+  /// The caller's retransmission timeout for an opening packet.
   static constexpr Micros CallerRetransmitAfter =
       std::chrono::milliseconds(200);
-  /// A review this late means that this process did not run, so that answers
-  /// may wait in its socket.
+  /// A call of `takeExpired` this late means that the process was suspended, so
+  /// that answers may still be queued in its socket.
   static constexpr Micros LateThreshold = std::chrono::milliseconds(20);
-  /// Far more than an entry host opens in `MinTimeout`.
+  /// Far more openings than a host forwards in `MinTimeout`.
   static constexpr std::size_t MaxPackets = 1024;
 
   using ExpiryHandler =
       std::function<void(const std::uint8_t *Data, std::size_t Size)>;
 
-  /// How long the next openings may stay unanswered.
+  /// Sets the timeout of packets that are added from now on.
   void setTimeout(Micros Timeout) { Timeout_ = Timeout; }
-  /// Keeps a copy of a packet that opens a flow; when there are too many, none.
+  /// Stores a copy of an opening packet. Ignores it if the queue is full.
   void add(MonoTime Now, const std::uint8_t *Data, std::size_t Size);
-  /// When `takeExpired` should be called; the far future when nothing waits.
+  /// Returns the time for the next call of `takeExpired`, or `MonoTime::max()`
+  /// if the queue is empty.
   MonoTime nextDeadline() const;
-  /// Gives \p OnExpired every packet whose time for an answer is over, and
-  /// forgets it. After a late review all get that time once more.
+  /// Removes every packet whose deadline has passed and passes it to
+  /// \p OnExpired. A late call extends all deadlines by the timeout instead and
+  /// drops packets that their callers retransmit before the new deadline.
   void takeExpired(MonoTime Now, const ExpiryHandler &OnExpired);
 
 private:
--- a/src/mechanism.h
+++ b/src/mechanism.h
@@ -1,6 +1,7 @@
 /// \file
-/// Lets a proof build the core without one of its mechanisms, to show that the
-/// tests then fail (support/prove). A normal build has them all.
+/// Compile-time switch that disables one mechanism of the core. support/prove
+/// uses it to check that tests fail without each mechanism; normal builds
+/// enable all of them.
 #ifndef THYMEWALL_SRC_MECHANISM_H
 #define THYMEWALL_SRC_MECHANISM_H
 
@@ -12,33 +13,32 @@
 
 enum class Mechanism {
   None,
-  HomeOnlySubmission,  ///< Only the home hands on what may not be repeated.
-  RequestNumberWindow, ///< The home's memory of used request numbers.
-  HomeEpoch,           ///< A lost flow row is noticed.
-  SuccessionFence,     ///< A successor adopts only what the old home never had.
-  DelegationOnStop,    ///< A stopped home delegates.
-  AttemptMatch,        ///< Answers belong to one hand-over.
-  NotRunDowngrade,     ///< `Not run` is lowered where it can't be known.
-  RouteTag,            ///< Routes are authenticated for service and flow.
-  MonotonicVersions,   ///< A declaration never gives way to an earlier one.
-  LateWake,            ///< A process that was away rereads first.
-  DrainingExclusion,   ///< Leaving upstreams are no candidates.
-  EvacuationExclusion, ///< Nor are those of evacuated data halls.
-  OpeningRetries,      ///< Unanswered openings go to another upstream.
-  OpeningEjection,     ///< Upstreams that answer no opening get no more.
-  StallEjection,       ///< Upstreams that answer no request get no more.
-  ShortAnswerEjection, ///< Upstreams that answer by errors get no more.
-  CorrelatedSilence,   ///< Silence of all upstreams alike speaks against none.
-  SlowStartAfterStall, ///< After a stall few flows come back at first.
-  LivenessChecks,      ///< Silent upstreams are checked, and their flows reset.
-  PeerWarnings,        ///< Peers are told of dead and stalled upstreams.
-  HeldPackets,         ///< Packets wait for what a start has to learn.
-  EndedUpstreams,      ///< A start learns of ended upstreams from peers.
-  IsolatedHallWithdrawal, ///< The living of a lost data hall leave it to
-                          ///< others.
-  SingleReader,           ///< One balancer reads for the fleet.
-  StalenessLimit, ///< Unknown addresses are reset only on fresh knowledge.
-  LeastLoaded,    ///< The less loaded of two candidates.
+  HomeOnlySubmission,  ///< Only the home forwards non-repeatable requests.
+  RequestNumberWindow, ///< The home rejects reused request numbers.
+  HomeEpoch,           ///< The home detects the loss of a flow row.
+  SuccessionFence,     ///< Successors adopt only requests new to the old home.
+  DelegationOnStop,    ///< A stopping home delegates to its successors.
+  AttemptMatch,        ///< Answers are matched to a forwarding attempt.
+  NotRunDowngrade,   ///< `NotRun` becomes `OutcomeUnknown` if it is uncertain.
+  RouteTag,          ///< Routes are authenticated for a service and flow.
+  MonotonicVersions, ///< Older declarations never replace newer ones.
+  LateWake,          ///< A suspended process rereads its state first.
+  DrainingExclusion, ///< Leaving upstreams get no new flows.
+  EvacuationExclusion, ///< Upstreams of evacuated data halls get no new flows.
+  OpeningRetries,      ///< Unanswered openings are retried at another upstream.
+  OpeningEjection,     ///< Upstreams that do not answer openings are ejected.
+  StallEjection,       ///< Upstreams that do not answer requests are ejected.
+  ShortAnswerEjection, ///< Upstreams that answer with errors are ejected.
+  CorrelatedSilence,   ///< Silence that affects all upstreams alike is ignored.
+  SlowStartAfterStall, ///< New flows ramp up slowly after a stall.
+  LivenessChecks,      ///< Silent upstreams are probed for liveness.
+  PeerWarnings,        ///< Peers are warned of dead and stalled upstreams.
+  HeldPackets,         ///< Packets are buffered until the balancer is ready.
+  EndedUpstreams,      ///< Starting balancers ask peers for ended upstreams.
+  IsolatedHallWithdrawal, ///< Balancers of a mostly dead hall stop serving.
+  SingleReader,   ///< One balancer reads the configuration for the fleet.
+  StalenessLimit, ///< Unknown addresses are reset only on fresh state.
+  LeastLoaded,    ///< The less loaded of two candidates is chosen.
   ColdLimits,     ///< Few balancers open flows to a cold upstream.
   ColdRamp        ///< Cold upstreams get fewer flows.
 };
--- a/src/observed-delay.h
+++ b/src/observed-delay.h
@@ -1,5 +1,5 @@
 /// \file
-/// The usual length of something that is measured again and again.
+/// Moving average of a delay.
 #ifndef THYMEWALL_SRC_OBSERVED_DELAY_H
 #define THYMEWALL_SRC_OBSERVED_DELAY_H
 
@@ -9,8 +9,7 @@
 
 namespace thymewall::detail {
 
-/// A mean that follows the last 16 or so: one outlier moves it by a sixteenth
-/// of its distance.
+/// Exponentially weighted moving average with a weight of 1/16.
 class MovingAverageDelay {
 public:
   void add(Micros Delay) {
@@ -18,7 +17,7 @@
                          : std::max(Delay, SmallestDelay);
   }
   bool hasSamples() const { return Mean_ != Micros(0); }
-  /// So many times the usual, but not less than \p Min.
+  /// Returns the average multiplied by \p Factor, but at least \p Min.
   Micros multiple(int Factor, Micros Min) const {
     return std::max(Min, Mean_ * Factor);
   }
@@ -26,7 +25,7 @@
 private:
   static constexpr Micros SmallestDelay{1};
 
-  Micros Mean_{0}; ///< 0 before the first.
+  Micros Mean_{0}; ///< 0 before the first sample.
 };
 
 } // namespace thymewall::detail
--- a/src/opening-retries.h
+++ b/src/opening-retries.h
@@ -1,5 +1,5 @@
 /// \file
-/// The timer around `UnansweredOpenings`.
+/// Runs `UnansweredOpenings` on an asio timer.
 #ifndef THYMEWALL_SRC_OPENING_RETRIES_H
 #define THYMEWALL_SRC_OPENING_RETRIES_H
 
@@ -12,15 +12,15 @@
 
 class OpeningRetries {
 public:
-  /// Called with an opening packet whose time for an answer is over, answered
-  /// or not.
+  /// Called with each opening packet whose timeout has passed, whether or not
+  /// it was answered.
   using Handler = std::function<void(MonoTime Now, const std::uint8_t *Data,
                                      std::size_t Size)>;
 
   OpeningRetries(asio::io_context &Context, Handler OnExpired);
 
   void setTimeout(Micros Timeout) { Openings_.setTimeout(Timeout); }
-  /// An opening packet was sent to an upstream.
+  /// Starts the timeout of an opening packet that was forwarded to an upstream.
   void onOpeningSent(MonoTime Now, const std::uint8_t *Data, std::size_t Size);
 
 private:
--- a/src/packet-flow.h
+++ b/src/packet-flow.h
@@ -1,7 +1,6 @@
 /// \file
-/// What a packet balancer remembers of a flow that it opened. Only load counts
-/// and the suspicion of upstreams rest on it: a packet finds its upstream by
-/// its cookie alone.
+/// Flow table of a packet balancer, used for load counts and failure detection.
+/// Packets are routed by their cookie alone and need no row.
 #ifndef THYMEWALL_SRC_PACKET_FLOW_H
 #define THYMEWALL_SRC_PACKET_FLOW_H
 
@@ -16,12 +15,12 @@
   FlowId Flow_{};
   Endpoint Caller_;
   Endpoint Service_;
-  MonoTime Since_{}; ///< When the opening or the request in progress was seen.
+  MonoTime Since_{}; ///< When the opening packet or the request arrived.
   std::uint32_t Upstream_ = 0; ///< Index into the upstream table.
   std::uint32_t Acknowledged_ = 0;
-  std::uint32_t Sequence_ = 0; ///< Of the last data.
+  std::uint32_t Sequence_ = 0; ///< Of the last packet with data.
   bool Open_ = false;          ///< The caller has acknowledged the opening.
-  bool InProgress_ = false;    ///< A request is at the upstream, unanswered.
+  bool InProgress_ = false; ///< The upstream has not answered the last request.
   RowLinks Links_;
 
   Key key() const { return Flow_; }
--- a/src/recent-count.h
+++ b/src/recent-count.h
@@ -1,5 +1,5 @@
 /// \file
-/// How often something happened in the last two seconds.
+/// Number of events in a sliding window of two seconds.
 #ifndef THYMEWALL_SRC_RECENT_COUNT_H
 #define THYMEWALL_SRC_RECENT_COUNT_H
 
@@ -9,10 +9,12 @@
 
 namespace thymewall::detail {
 
-/// Counts by ticks of 250 ms, so that no clock is read for each event.
+/// Counts events in eight buckets, each of which spans one tick of 250 ms. No
+/// clock is read per event.
 class RecentCount {
 public:
   void add() { ++Counts_[Current_]; }
+  /// Starts a new bucket and drops the oldest one.
   void tick() {
     Current_ = (Current_ + 1) % Counts_.size();
     Counts_[Current_] = 0;
