--- a/src/packet-balancer-evidence.cc
+++ b/src/packet-balancer-evidence.cc
@@ -186,8 +186,9 @@
   std::size_t Needed = requiredEvidence(Index, SeenLocally);
   std::size_t Unanswered = UnansweredRequests_.against(Now_, Index);
   if (Unanswered >= Needed)
-    ejectFor(Index, UpstreamEvent::Kind::Stalled,
-             UpstreamStates_[Index].StallEjections_, Unanswered, Needed);
+    ejectTemporarily(Index, UpstreamEvent::Kind::Stalled,
+                     UpstreamStates_[Index].StallEjections_, Unanswered,
+                     Needed);
 }
 
 /// While no balancer comes a request is evidence by itself: of a service
@@ -241,8 +242,8 @@
                     MinShortAnswerShare * expectedAnswers(Service->second))));
   std::size_t Evidence = ShortAnswers_.against(Now_, Index);
   if (Evidence >= Needed)
-    ejectFor(Index, UpstreamEvent::Kind::Failing, State.FailingEjections_,
-             Evidence, Needed);
+    ejectTemporarily(Index, UpstreamEvent::Kind::Failing,
+                     State.FailingEjections_, Evidence, Needed);
 }
 
 /// How many answers the whole fleet has of one upstream of a service in
@@ -255,16 +256,17 @@
 }
 
 /// A soft judgement: other upstreams take the new flows, nothing is reset.
-void PacketBalancer::Impl::ejectFor(std::uint32_t Index,
-                                    UpstreamEvent::Kind Why,
-                                    std::uint32_t &Consecutive,
-                                    std::size_t Evidence, std::size_t Needed) {
+void PacketBalancer::Impl::ejectTemporarily(std::uint32_t Index,
+                                            UpstreamEvent::Kind Reason,
+                                            std::uint32_t &Consecutive,
+                                            std::size_t Evidence,
+                                            std::size_t Needed) {
   UpstreamState &State = UpstreamStates_[Index];
   std::uint32_t Factor =
       std::min(MaxEjectionFactor, 1U << std::min(Consecutive, 8U));
   ++Consecutive;
-  ++(Why == UpstreamEvent::Kind::Stalled ? Counters_.Stalled_
-                                         : Counters_.Failing_);
+  ++(Reason == UpstreamEvent::Kind::Stalled ? Counters_.Stalled_
+                                            : Counters_.Failing_);
   Upstreams_.eject(Index, Now_ + BaseEjectionTime * Factor);
   // Else every balancer of a fleet gives it flows again in one moment, and an
   // upstream that still hangs costs as many requests as at first. Gain: 2,028
@@ -272,7 +274,7 @@
   if (isEnabled(Mechanism::SlowStartAfterStall))
     Upstreams_.warmFrom(Index, Upstreams_[Index].EjectedUntil_);
   if (Options_.OnUpstreamEvent_)
-    Options_.OnUpstreamEvent_({Why, Upstreams_[Index].Incarnation_,
+    Options_.OnUpstreamEvent_({Reason, Upstreams_[Index].Incarnation_,
                                Upstreams_[Index].At_, State.Revision_, Evidence,
                                Needed});
 }
--- a/src/packet-balancer-impl.h
+++ b/src/packet-balancer-impl.h
@@ -81,7 +81,7 @@
   /// What belongs to a row of the upstream table with the same index.
   struct UpstreamState {
     ServiceId Service_{};
-    bool HasService_ = false; ///< Of the service.
+    bool ListedInService_ = false; ///< Of the service.
     std::string DataHall_;
     Revision Revision_ = 0;
     std::uint64_t BornMs_ = 0; ///< Of the start that is published.
@@ -123,7 +123,7 @@
   Verdict open(const Packet &P, FlowId Flow,
                const std::vector<ServiceShare> &Shares);
   Verdict routeByCookie(const Packet &P, FlowId Flow);
-  Verdict refuse(const Packet &P, ErrorKind Why);
+  Verdict refuse(const Packet &P, ErrorKind Error);
   void recordUnansweredOpening(std::uint32_t Index);
   Forward sendOpening(Decision::Kind Kind, const Packet &P, FlowId Flow,
                       std::uint32_t Index);
@@ -161,15 +161,15 @@
   void recordAnswer(std::uint32_t Index);
   void detectStalls();
   std::optional<Micros> stallTimeout(std::uint32_t Index) const;
-  double expectedAnswers(const ServiceState &Of) const;
+  double expectedAnswers(const ServiceState &Service) const;
   void classifyAnswer(const detail::PacketFlowRow &Row, const Packet &P);
   void recordShortAnswer(std::uint32_t Index, FlowId Flow, bool SeenLocally);
   void recordUnansweredRequest(std::uint32_t Index, FlowId Flow,
                                bool SeenLocally);
   std::size_t requiredEvidence(std::uint32_t Index, bool SeenLocally) const;
-  void ejectFor(std::uint32_t Index, UpstreamEvent::Kind Why,
-                std::uint32_t &Consecutive, std::size_t Evidence,
-                std::size_t Needed);
+  void ejectTemporarily(std::uint32_t Index, UpstreamEvent::Kind Reason,
+                        std::uint32_t &Consecutive, std::size_t Evidence,
+                        std::size_t Needed);
   std::uint32_t indexOf(Incarnation Which) const;
   void setAlive(std::uint32_t Index);
   void setDead(std::uint32_t Index);
@@ -178,13 +178,13 @@
   void addToAddress(std::uint32_t Index);
   void removeFromAddress(std::uint32_t Index);
   void endReplacedUpstreams(const Endpoint &At);
-  bool hasReplaced(std::uint32_t Index, std::uint32_t From) const;
+  bool hasReplaced(std::uint32_t Index, std::uint32_t Previous) const;
   void setReplaced(std::uint32_t Index);
   void clearHealthState();
   void resetFlows(std::uint32_t Index);
   void reportEvent(UpstreamEvent::Kind Kind, std::uint32_t Index) const;
   void reportDecision(Decision::Kind Kind, const Packet &P, std::uint32_t Index,
-                      ErrorKind Why, std::size_t Candidates) const;
+                      ErrorKind Error, std::size_t Candidates) const;
   void joinService(std::uint32_t Index, ServiceId Service);
   void leaveService(std::uint32_t Index);
   std::uint32_t expiryTick(Micros After) const;
--- a/src/packet-balancer-upstreams.cc
+++ b/src/packet-balancer-upstreams.cc
@@ -123,7 +123,7 @@
   UpstreamState NewState;
   UpstreamState &State = UpstreamStates_[Index];
   NewState.Service_ = State.Service_;
-  NewState.HasService_ = State.HasService_;
+  NewState.ListedInService_ = State.ListedInService_;
   NewState.BornMs_ = State.BornMs_;
   NewState.StartedAt_ = Now_;
   State = NewState;
@@ -131,12 +131,12 @@
 
 void PacketBalancer::Impl::joinService(std::uint32_t Index, ServiceId Service) {
   UpstreamState &State = UpstreamStates_[Index];
-  if (State.HasService_ && State.Service_ == Service)
+  if (State.ListedInService_ && State.Service_ == Service)
     return;
-  if (State.HasService_)
+  if (State.ListedInService_)
     leaveService(Index);
   State.Service_ = Service;
-  State.HasService_ = true;
+  State.ListedInService_ = true;
   Services_[raw(Service)].Members_.push_back(Index);
 }
 
@@ -145,7 +145,7 @@
   std::vector<std::uint32_t> &Members = Services_[raw(State.Service_)].Members_;
   Members.erase(std::remove(Members.begin(), Members.end(), Index),
                 Members.end());
-  State.HasService_ = false;
+  State.ListedInService_ = false;
 }
 
 void PacketBalancer::Impl::remove(const UpstreamChange &Change,
--- a/src/packet-balancer.cc
+++ b/src/packet-balancer.cc
@@ -44,15 +44,15 @@
   return isOpening(P) ? open(P, Flow, *Shares) : routeByCookie(P, Flow);
 }
 
-Verdict PacketBalancer::Impl::refuse(const Packet &P, ErrorKind Why) {
-  ++Counters_.Errors_[static_cast<std::size_t>(Why)];
-  reportDecision(Decision::Kind::Refused, P, UpstreamTable::None, Why, 0);
-  bool Resets = errorRow(Why).Answer_ == Answer::Reset && !P.Resets_;
+Verdict PacketBalancer::Impl::refuse(const Packet &P, ErrorKind Error) {
+  ++Counters_.Errors_[static_cast<std::size_t>(Error)];
+  reportDecision(Decision::Kind::Refused, P, UpstreamTable::None, Error, 0);
+  bool Resets = errorRow(Error).Answer_ == Answer::Reset && !P.Resets_;
   if (!Resets)
-    return Dropped{Why};
+    return Dropped{Error};
   ++Counters_.Resets_;
   std::uint32_t Sequence = isOpening(P) ? 0 : P.Acknowledged_;
-  return ResetFlow{P.Caller_, P.Service_, Sequence, Why};
+  return ResetFlow{P.Caller_, P.Service_, Sequence, Error};
 }
 
 Verdict PacketBalancer::Impl::open(const Packet &P, FlowId Flow,
@@ -258,9 +258,8 @@
 /// 1937 retries, this makes 77.
 Micros PacketBalancer::Impl::openingTimeout() const {
   constexpr int Times = 3;
-  return std::min(
-      OpeningDelay_.multiple(Times, UnansweredOpenings::MinTimeout),
-      UnansweredOpenings::MaxTimeout);
+  return std::min(OpeningDelay_.multiple(Times, UnansweredOpenings::MinTimeout),
+                  UnansweredOpenings::MaxTimeout);
 }
 
 void PacketBalancer::Impl::tick(MonoTime Now) {
@@ -279,7 +278,7 @@
 }
 
 void PacketBalancer::Impl::reportDecision(Decision::Kind Kind, const Packet &P,
-                                          std::uint32_t Index, ErrorKind Why,
+                                          std::uint32_t Index, ErrorKind Error,
                                           std::size_t Candidates) const {
   if (!Options_.OnDecision_)
     return;
@@ -289,7 +288,7 @@
   D.Service_ = P.Service_;
   if (Index != UpstreamTable::None)
     D.Upstream_ = Upstreams_.rows()[Index].Incarnation_;
-  D.Error_ = Why;
+  D.Error_ = Error;
   D.Candidates_ = static_cast<std::uint32_t>(Candidates);
   D.RoutingVersion_ = Routing_ ? Routing_->Version_ : 0;
   D.HasConfirmation_ = ConfirmedAsOf_ != MonoTime{};
