--- a/src/packet-balancer-addresses.cc
+++ b/src/packet-balancer-addresses.cc
@@ -21,8 +21,8 @@
     IndexesByAddress_.erase(It);
 }
 
-/// An address is handed on only when the upstream that had it has ended. Frees
-/// callers who wait for an upstream that died without a word.
+/// Marks upstreams dead whose address another one has taken over, so that the
+/// callers of an upstream that crashed get a reset at once.
 void PacketBalancer::Impl::endReplacedUpstreams(const Endpoint &At) {
   auto It = IndexesByAddress_.find(At);
   if (It == IndexesByAddress_.end() || It->second.size() < 2)
@@ -34,12 +34,11 @@
         setReplaced(Older);
 }
 
-/// Whether \p Index shows that \p Previous, at the same address, has ended. The
-/// later start has the address. Where births are not told, one that is
-/// published took it from one that is no more; of two that are published
-/// neither is proved to have ended, whichever was written last: an entry that a
-/// cut held up is written by an upstream that is long gone. An entry of a
-/// service that no routing table names takes no address.
+/// Returns whether \p Index has taken over the address of \p Previous. The
+/// later start time wins. Without start times, a published upstream replaces
+/// one that is gone; of two published ones neither is replaced, since an old
+/// entry may arrive late after a network partition. Upstreams of services that
+/// the routing table does not name replace none.
 bool PacketBalancer::Impl::hasReplaced(std::uint32_t Index,
                                        std::uint32_t Previous) const {
   const UpstreamState &NewState = UpstreamStates_[Index];
--- a/src/packet-balancer-evidence.cc
+++ b/src/packet-balancer-evidence.cc
@@ -12,37 +12,36 @@
 
 namespace {
 
-/// An upstream that was checked is not checked again for this long.
+/// Minimum time between two checks of an upstream.
 constexpr Micros MinCheckInterval = std::chrono::milliseconds(1000);
-/// A dead upstream is checked again after pauses that double between these. A
-/// start of an upstream has a new incarnation, so that the same one comes back
-/// only after a cut, which lasts seconds.
+/// Bounds of the exponential backoff between checks of a dead upstream. A
+/// restarted one has a new incarnation, so that a dead one returns only after a
+/// network partition, which lasts seconds.
 constexpr Micros MinRecheckDelay = std::chrono::milliseconds(1000);
 constexpr Micros MaxRecheckDelay = std::chrono::milliseconds(4000);
 
-/// A request unanswered for so many times the usual, with no other answer of
-/// its upstream since it was sent, is one that the upstream sits on: work of
-/// the services of today takes up to 6 times its mean, and never less than the
-/// second, so that a caller's packet may be lost twice.
+/// A request counts as unanswered after this multiple of the service's average
+/// delay, but not before `MinStallTimeout`, if its upstream has sent no answer
+/// since. Requests take up to 6 times the average; the minimum allows for two
+/// lost packets of the caller.
 constexpr int StallDelayFactor = 8;
 constexpr Micros MinStallTimeout = std::chrono::milliseconds(600);
-/// New flows go elsewhere for this long, doubled with each stall in a row up to
-/// this many times.
+/// Ejection time, which doubles with each consecutive ejection up to
+/// `MaxEjectionFactor` times its base.
 constexpr Micros BaseEjectionTime = std::chrono::milliseconds(2000);
 constexpr std::uint32_t MaxEjectionFactor = 8;
-/// While flows are moved it takes so many of peers' unanswered requests at
-/// least: what one balancer saw once must not be what all of them believe.
+/// Minimum number of requests reported by peers while the fabric moves flows,
+/// so that one wrong report does not eject an upstream in the whole fleet.
 constexpr std::size_t MinPeerEvidence = 2;
-/// Right answers may be short once in a while: one is never enough.
+/// Minimum number of short answers for an ejection; correct answers may be
+/// short occasionally.
 constexpr std::size_t MinShortAnswers = 2;
-/// The first verdict takes this share of the answers that an upstream gives in
-/// `SilenceEvidence::CountsFor`. One that turns callers away because its queue
-/// is full still serves most; put aside for that, it leaves its load to others,
-/// whose queues fill in turn (twice the usual load, worth .981 to .973).
+/// Minimum share of short answers, among those that an upstream gives in
+/// `SilenceEvidence::CountsFor`, for its first ejection. An overloaded upstream
+/// still serves most requests; ejecting it would overload the others in turn.
 constexpr double MinShortAnswerShare = 0.12;
-/// Full queues give each upstream a short answer now and then: this share of
-/// them may be put aside by chance. A fortieth of a service, as for silence,
-/// would add to the load of the others twice a second.
+/// Share of well upstreams that short answers may eject by chance. Smaller than
+/// for unanswered requests because full queues cause a few at every upstream.
 constexpr double FalsePositiveShare = 0.0005;
 
 Micros recheckDelay(std::uint32_t Rechecks) {
@@ -58,14 +57,15 @@
   if (!isEnabled(Mechanism::OpeningEjection))
     return;
   bool WasEjected = Upstreams_[Index].EjectedUntil_ > Now_;
-  // Flows differ enough from balancer to balancer to spread the returns.
+  // The jitter is the same at every balancer; their flows differ enough to
+  // spread the returns.
   double Jitter = static_cast<double>(raw(Upstreams_[Index].Id_) % 1000) / 1000;
   Upstreams_.failed(Index, Now_, Jitter);
   if (!WasEjected && Upstreams_[Index].EjectedUntil_ > Now_)
     reportEvent(UpstreamEvent::Kind::Ejected, Index);
 }
 
-/// A packet got no answer in the time after which it is sent again.
+/// Requests a liveness check of an upstream that left a packet unanswered.
 void PacketBalancer::Impl::requestCheck(std::uint32_t Index) {
   UpstreamState &State = UpstreamStates_[Index];
   bool Allowed = Options_.OnCheck_ && !State.Draining_ && !State.Replaced_ &&
@@ -77,8 +77,9 @@
   Options_.OnCheck_({Upstreams_[Index].Incarnation_, Upstreams_[Index].At_});
 }
 
-/// Checks those that peers found dead, and the dead that are still published.
-/// Ticks of different balancers spread over 250 ms, and so do their checks.
+/// Checks upstreams that peers reported dead and rechecks the dead ones that
+/// are still published. The ticks of the balancers spread the checks over 250
+/// ms.
 void PacketBalancer::Impl::runDueChecks() {
   for (std::uint32_t Index = 0; Index < UpstreamStates_.size(); ++Index) {
     UpstreamState &State = UpstreamStates_[Index];
@@ -101,7 +102,7 @@
     return;
   UpstreamState &State = UpstreamStates_[Index];
   if (M.BornMs_ != State.BornMs_)
-    return; // of another start
+    return; // about another start of the upstream
   if (M.Kind_ == UpstreamWarning::Kind::Dead)
     State.CheckRequested_ = true;
   else if (M.Kind_ == UpstreamWarning::Kind::Failing)
@@ -111,7 +112,7 @@
     recordUnansweredRequest(Index, M.Flow_, false);
 }
 
-/// Tells peers of evidence against an upstream.
+/// Sends evidence against an upstream to peers.
 void PacketBalancer::Impl::warn(std::uint32_t Index, UpstreamWarning::Kind Kind,
                                 FlowId Flow) const {
   if (Options_.OnWarning_)
@@ -145,7 +146,7 @@
   for (std::uint32_t Index = 0; Index < UpstreamStates_.size(); ++Index) {
     std::vector<PendingRequest> &Pending =
         UpstreamStates_[Index].PendingRequests_;
-    if (!Serving_) // the answer is seen by another balancer
+    if (!Serving_) // another balancer sees the answers
       Pending.clear();
     std::optional<Micros> Limit = stallTimeout(Index);
     if (Pending.empty() || !Limit)
@@ -160,8 +161,8 @@
   }
 }
 
-/// How long a request may stay unanswered, judged by what the service usually
-/// takes: nothing is known of a service whose first answer has not come.
+/// Returns the answer timeout of the upstream's service, or nothing before its
+/// first answer.
 std::optional<Micros>
 PacketBalancer::Impl::stallTimeout(std::uint32_t Index) const {
   auto Service = Services_.find(raw(UpstreamStates_[Index].Service_));
@@ -171,14 +172,14 @@
                                                MinStallTimeout);
 }
 
-/// One request of a flow was left unanswered, here or at a peer.
+/// Handles a request that was left unanswered here or at a peer.
 void PacketBalancer::Impl::recordUnansweredRequest(std::uint32_t Index,
                                                    FlowId Flow,
                                                    bool SeenLocally) {
   if (!isEnabled(Mechanism::StallEjection))
     return;
   if (Upstreams_[Index].EjectedUntil_ > Now_)
-    return; // others see what led to this ejection only now
+    return; // likely the same stall that caused the ejection
   if (!UnansweredRequests_.add(Now_, Index, Flow))
     return;
   if (SeenLocally)
@@ -191,9 +192,9 @@
                      Needed);
 }
 
-/// While no balancer comes a request is evidence by itself: of a service
-/// with one or two requests a second to each upstream, waiting for a second one
-/// costs a request more at every upstream that hangs.
+/// Returns the number of unanswered requests that ejects an upstream. One is
+/// enough unless the fabric may be moving flows: waiting for a second one would
+/// lose another request at every stalled upstream.
 std::size_t PacketBalancer::Impl::requiredEvidence(std::uint32_t Index,
                                                    bool SeenLocally) const {
   bool Settled = Now_ >= ReroutesUntil_;
@@ -206,7 +207,7 @@
   return SeenLocally ? Needed : std::max(Needed, MinPeerEvidence);
 }
 
-/// The caller has acknowledged an answer to the request of \p Row.
+/// Checks the size of the answer to the request of \p Row.
 void PacketBalancer::Impl::classifyAnswer(const PacketFlowRow &Row,
                                           const Packet &P) {
   if (!isEnabled(Mechanism::ShortAnswerEjection))
@@ -219,12 +220,13 @@
     UpstreamStates_[Row.Upstream_].FailingEjections_ = 0;
 }
 
-/// An upstream gave a short answer, here or at a peer. Judged against the rest
-/// of its service: where all give such answers, it is no fault of one.
+/// Handles a short answer seen here or at a peer. The threshold depends on the
+/// rest of the service: where all upstreams give short answers, none is at
+/// fault.
 void PacketBalancer::Impl::recordShortAnswer(std::uint32_t Index, FlowId Flow,
                                              bool SeenLocally) {
   if (Upstreams_[Index].EjectedUntil_ > Now_)
-    return; // what was under way there tells nothing new
+    return; // the request was sent before the ejection
   if (!ShortAnswers_.add(Now_, Index, Flow))
     return;
   if (SeenLocally)
@@ -246,8 +248,8 @@
                      State.FailingEjections_, Evidence, Needed);
 }
 
-/// How many answers the whole fleet has of one upstream of a service in
-/// `SilenceEvidence::CountsFor`, judged by those that pass here.
+/// Estimates how many answers an upstream of the service gives to the whole
+/// fleet in `SilenceEvidence::CountsFor`, from those seen here.
 double
 PacketBalancer::Impl::expectedAnswers(const ServiceState &Service) const {
   std::size_t Upstreams = std::max<std::size_t>(Service.Eligible_.size(), 1);
@@ -255,7 +257,7 @@
          static_cast<double>(Upstreams);
 }
 
-/// A soft judgement: other upstreams take the new flows, nothing is reset.
+/// Gives an upstream no new flows for a while. Open flows are not reset.
 void PacketBalancer::Impl::ejectTemporarily(std::uint32_t Index,
                                             UpstreamEvent::Kind Reason,
                                             std::uint32_t &Consecutive,
@@ -268,9 +270,8 @@
   ++(Reason == UpstreamEvent::Kind::Stalled ? Counters_.Stalled_
                                             : Counters_.Failing_);
   Upstreams_.eject(Index, Now_ + BaseEjectionTime * Factor);
-  // Else every balancer of a fleet gives it flows again in one moment, and an
-  // upstream that still hangs costs as many requests as at first. Gain: 2,028
-  // lost requests in place of 2,210 where a fifth of 480 hangs for 7 s, twice.
+  // Slow start: otherwise the whole fleet would resume at once, and an upstream
+  // that is still stalled would lose as many requests as at first.
   if (isEnabled(Mechanism::SlowStartAfterStall))
     Upstreams_.warmFrom(Index, Upstreams_[Index].EjectedUntil_);
   if (Options_.OnUpstreamEvent_)
@@ -281,7 +282,7 @@
 
 void PacketBalancer::Impl::setAlive(std::uint32_t Index) {
   if (UpstreamStates_[Index].Replaced_)
-    return; // the other upstream at its address answered
+    return; // the upstream that took over its address answered
   Upstreams_.setDead(Index, false);
   reportEvent(UpstreamEvent::Kind::Checked, Index);
 }
@@ -306,7 +307,7 @@
                      UpstreamStates_[Index].StartedAt_ <= Began;
   if (!OfThisStart)
     return;
-  // Whatever the check saw, progress of a flow since then is life.
+  // Progress of a flow since the check began proves that the upstream is alive.
   bool Progress = UpstreamStates_[Index].LastProgressAt_ >= Began;
   if (Result == CheckResult::Unclear)
     return;
@@ -315,7 +316,8 @@
   setDead(Index);
 }
 
-/// After a late wake; what has ended stays so.
+/// Forgets all failures after a suspension, except that replaced upstreams stay
+/// dead.
 void PacketBalancer::Impl::clearHealthState() {
   Upstreams_.forgetBeliefs();
   UnansweredRequests_.clearAll();
--- a/src/packet-balancer-flows.cc
+++ b/src/packet-balancer-flows.cc
@@ -9,8 +9,8 @@
                                     TickInterval);
 }
 
-/// A row for a flow that goes to an upstream from now on; null when the table
-/// is full: such a flow is served, but not counted.
+/// Assigns a flow to an upstream and returns its row, or null if the table is
+/// full. Such a flow is served but not counted.
 PacketFlowRow *PacketBalancer::Impl::assignFlow(const Packet &P, FlowId Flow,
                                                 std::uint32_t Index) {
   PacketFlowRow *Row = Flows_.find(Flow);
@@ -37,7 +37,7 @@
     setInProgress(*Row, true);
 }
 
-/// Data of a flow that was opened by another balancer.
+/// Adds a row for a flow that another balancer opened, once data arrives.
 PacketFlowRow *PacketBalancer::Impl::recordFollowed(const Packet &P,
                                                     FlowId Flow,
                                                     std::uint32_t Index) {
@@ -101,7 +101,7 @@
     Row->Open_ = true;
     Upstreams_.succeeded(Index);
     recordDelay(*Row, DelayClass::Open);
-    Row->Since_ = Now_; // its request comes right behind
+    Row->Since_ = Now_; // the first request follows immediately
   } else if (Progress) {
     if (Row->InProgress_)
       recordDelay(*Row, DelayClass::Request);
@@ -115,7 +115,8 @@
   recordRequest(Index, Flow);
 }
 
-/// An opening went to two upstreams, and the caller took the other's answer.
+/// Moves a flow whose opening was sent to two upstreams to the one whose answer
+/// the caller accepted.
 void PacketBalancer::Impl::reassignFlow(PacketFlowRow &Row,
                                         std::uint32_t Index) {
   subtractLoad(Row);
--- a/src/packet-balancer-impl.h
+++ b/src/packet-balancer-impl.h
@@ -1,9 +1,8 @@
 /// \file
-/// Inside of `PacketBalancer`: packets (packet-balancer.cc), what is remembered
-/// of flows (packet-balancer-flows.cc), which upstreams there are
-/// (packet-balancer-upstreams.cc) and which of them are suspected, stalled or
-/// dead (packet-balancer-evidence.cc), and who has an address
-/// (packet-balancer-addresses.cc).
+/// Implementation of `PacketBalancer`: packets (packet-balancer.cc), flow table
+/// (packet-balancer-flows.cc), upstream list (packet-balancer-upstreams.cc),
+/// failure detection (packet-balancer-evidence.cc) and addresses that several
+/// upstreams share (packet-balancer-addresses.cc).
 #ifndef THYMEWALL_SRC_PACKET_BALANCER_IMPL_H
 #define THYMEWALL_SRC_PACKET_BALANCER_IMPL_H
 
@@ -21,15 +20,15 @@
 
 namespace detail {
 
-/// The cookie of an upstream: what fits of its incarnation. Never 0, which
-/// stands for no cookie.
+/// Returns the cookie of an upstream: the low 32 bits of its incarnation, or 1
+/// if they are 0, which means no cookie.
 inline Cookie cookieOf(Incarnation Which) {
   auto Low = static_cast<std::uint32_t>(raw(Which));
   return Low == 0 ? 1 : Low;
 }
 
-/// A single opening that got no answer in the caller's 200 ms moves new flows
-/// elsewhere for a while: a mistake costs nothing, since they are served there.
+/// Unanswered openings in a row after which an upstream is ejected. A wrong
+/// ejection is harmless because other upstreams take the new flows.
 constexpr std::uint32_t OpeningFailuresToEject = 1;
 
 } // namespace detail
@@ -78,44 +77,44 @@
     FlowId Flow_{};
     MonoTime Since_{};
   };
-  /// What belongs to a row of the upstream table with the same index.
+  /// Additional state of the upstream table's row with the same index.
   struct UpstreamState {
     ServiceId Service_{};
-    bool ListedInService_ = false; ///< Of the service.
+    bool ListedInService_ = false; ///< Whether `Service_` is set.
     std::string DataHall_;
     Revision Revision_ = 0;
-    std::uint64_t BornMs_ = 0; ///< Of the start that is published.
-    /// When that start took the place of an earlier one here.
+    std::uint64_t BornMs_ = 0; ///< Published start time.
+    /// When this balancer learned of the restart; 0 if there was none.
     MonoTime StartedAt_{};
-    MonoTime ColdUntil_{};      ///< As it is published.
-    MonoTime LapsedUntil_{};    ///< While it may come back.
-    MonoTime ReleaseAt_{};      ///< When a gone upstream's row is given back.
-    MonoTime LastProgressAt_{}; ///< Last sign of life in any of its flows.
-    /// Requests that were sent to it since its last answer.
+    MonoTime ColdUntil_{};      ///< Published end of its cold start.
+    MonoTime LapsedUntil_{};    ///< End of the grace period of `Lapsed_`.
+    MonoTime ReleaseAt_{};      ///< When the row of a gone one is released.
+    MonoTime LastProgressAt_{}; ///< Last progress of any of its flows.
+    /// Requests sent since its last answer.
     std::vector<PendingRequest> PendingRequests_;
     MonoTime LastAnswerAt_{};
-    std::uint32_t StallEjections_ = 0;   ///< In a row.
-    std::uint32_t FailingEjections_ = 0; ///< In a row.
-    bool CheckRequested_ = false; ///< At the next tick: a peer found it dead.
-    MonoTime NextCheckAt_{};     ///< Not checked before, whatever is suspected.
-    MonoTime RecheckAt_{};       ///< While it is dead.
-    std::uint32_t Rechecks_ = 0; ///< Since it was found dead.
+    std::uint32_t StallEjections_ = 0;   ///< Consecutive ones.
+    std::uint32_t FailingEjections_ = 0; ///< Consecutive ones.
+    bool CheckRequested_ = false; ///< For the next tick, by a peer's warning.
+    MonoTime NextCheckAt_{};      ///< Earliest time of the next check.
+    MonoTime RecheckAt_{};        ///< Next check of a dead upstream.
+    std::uint32_t Rechecks_ = 0;  ///< Number of them since its death.
     bool Lapsed_ = false;
     bool Gone_ = false;
     bool Draining_ = false;
-    bool Replaced_ = false; ///< Another upstream has taken its address over.
+    bool Replaced_ = false; ///< Another upstream has taken over its address.
   };
-  /// The upstreams of a service and those among them that take new flows.
+  /// Upstreams of a service, with the cached subset that takes new flows.
   struct ServiceState {
     std::vector<std::uint32_t> Members_;
     Eligible Eligible_;
-    /// Those that only the owners of their limit may choose, and when the first
-    /// of them is warm.
+    /// Cold upstreams with a limit on new flows, and when the first of them
+    /// becomes warm.
     std::vector<std::uint32_t> ColdMembers_;
     MonoTime WarmAt_ = MonoTime::max();
-    Version Routing_ = 0; ///< Whose limits were applied.
+    Version Routing_ = 0; ///< Version of the applied limits.
     detail::MovingAverageDelay
-        AnswerDelay_; ///< From request to acknowledged answer.
+        AnswerDelay_; ///< From a request to its acknowledged answer.
     detail::RecentCount RecentAnswers_;
     std::uint64_t Generation_ = 0;
   };
@@ -199,16 +198,16 @@
   std::set<std::string> EvacuatedHalls_;
   ColdAdmission ColdAdmission_;
   std::unordered_map<std::uint32_t, std::uint32_t> IndexOfCookie_;
-  /// The upstreams that are or were published at an address.
+  /// Upstreams that are or were published at an address.
   std::unordered_map<Endpoint, std::vector<std::uint32_t>, EndpointHash>
       IndexesByAddress_;
   detail::PacketFlowTable Flows_;
   MonoTime Now_{};
   MonoTime ConfirmedAsOf_{};
-  MonoTime ReroutesUntil_{}; ///< The fabric may be moving flows.
+  MonoTime ReroutesUntil_{}; ///< Until then the fabric may move flows.
   MonoTime NextTickDeadline_ = MonoTime::max();
   bool UpstreamsKnown_ = false;
-  bool BulkUpdate_ = false; ///< Too many changes are told to name each.
+  bool BulkUpdate_ = false; ///< Suppresses most upstream events.
   bool Serving_ = true;
   SilenceEvidence UnansweredRequests_;
   SilenceEvidence ShortAnswers_;
--- a/src/packet-balancer-upstreams.cc
+++ b/src/packet-balancer-upstreams.cc
@@ -29,8 +29,8 @@
   auto It = IndexOfCookie_.find(UpstreamCookie);
   bool CookieTaken = It != IndexOfCookie_.end() &&
                      Upstreams_[It->second].Incarnation_ != Entry.Incarnation_;
-  // Two upstreams with one cookie: the earlier one keeps it, and the later one
-  // gets no flows, since their packets could not be told apart.
+  // On a cookie collision the earlier upstream keeps it and the later one gets
+  // no flows, since their packets could not be told apart.
   if (CookieTaken)
     return;
   bool IsNew = It == IndexOfCookie_.end();
@@ -85,9 +85,8 @@
   }
 }
 
-/// A peer tells of an upstream that ended before this balancer heard of it. It
-/// may serve its flows on for many seconds; without its row their packets went
-/// nowhere (133 in ten seconds of restarts beside releases).
+/// Adds an upstream that was removed before this balancer started. It may serve
+/// its open flows for many seconds, and their packets need its row.
 void PacketBalancer::Impl::addEnded(const UpstreamChange &Change) {
   if (indexOf(Change.Incarnation_) != UpstreamTable::None)
     return;
@@ -104,10 +103,9 @@
   return Found ? It->second : UpstreamTable::None;
 }
 
-/// The upstream has started again under its incarnation: what was found out
-/// about the earlier start says nothing of this one. Open flows are forgotten
-/// and not reset: their packets reach the new start, which alone knows which of
-/// them it holds (one opened since its start looks the same from here).
+/// Clears the state of an upstream that restarted under the same incarnation.
+/// Rows of its flows are dropped without a reset: only the upstream knows which
+/// flows it still holds.
 void PacketBalancer::Impl::resetState(std::uint32_t Index) {
   std::vector<FlowId> OldFlows;
   Flows_.forEach([&](const PacketFlowRow &Row) {
@@ -166,14 +164,15 @@
   UpstreamState &State = UpstreamStates_[Index];
   State.Lapsed_ = false;
   State.Gone_ = true;
-  // Its flows are still sent to it: it may live on for a while.
+  // Open flows are still forwarded to it, since it may run on for a while.
   State.ReleaseAt_ = Now_ + Options_.MaxFlowAge_;
   Upstreams_.withdraw(Index);
   reportEvent(UpstreamEvent::Kind::Gone, Index);
   endReplacedUpstreams(Upstreams_[Index].At_);
 }
 
-/// Ends what had a time: lapsed upstreams are gone, and gone ones forgotten.
+/// Removes lapsed upstreams after their grace period and releases the rows of
+/// gone ones.
 void PacketBalancer::Impl::expireUpstreams() {
   for (std::uint32_t Index = 0; Index < UpstreamStates_.size(); ++Index) {
     UpstreamState &State = UpstreamStates_[Index];
--- a/src/packet-balancer.cc
+++ b/src/packet-balancer.cc
@@ -12,14 +12,14 @@
 
 namespace {
 
-/// Copies of an opening packet draw other candidates than the first one.
+/// Hash salt with which retransmitted openings draw other candidates.
 constexpr std::uint64_t RetransmitDraw = 0x636f7079;
-/// The draw of a retry: the number of no copy that a caller sends.
+/// Attempt number of a retry; callers never retransmit that often.
 constexpr std::uint32_t RetryDraw = 0x80;
 
 bool isOpening(const Packet &P) { return P.Opens_ && !P.Acknowledges_; }
 
-/// What only a server's side sends: no caller's packet.
+/// Returns whether only a server sends such a packet (SYN and ACK).
 bool isFromServer(const Packet &P) { return P.Opens_ && P.Acknowledges_; }
 
 } // namespace
@@ -75,15 +75,15 @@
                      P, Flow, Index);
 }
 
-/// Whether what is known is recent enough to refuse a caller by it.
+/// Returns whether the state is recent enough to reset a caller's flow.
 bool PacketBalancer::Impl::isFresh() const {
   return Now_ - ConfirmedAsOf_ < Options_.MaxStalenessForReset_ ||
          !detail::isEnabled(detail::Mechanism::StalenessLimit);
 }
 
-/// Where an evacuation or the limit of cold upstreams is why nobody takes a
-/// flow, its caller is told at once; else upstreams may be published in a
-/// moment, and the opening waits.
+/// Returns the error for an opening without a candidate. Evacuations and limits
+/// of cold upstreams reset the caller at once; `NoneLeft` holds the packet,
+/// since an upstream may be published soon.
 ErrorKind PacketBalancer::Impl::noCandidateError(ServiceId Service) const {
   auto It = Services_.find(raw(Service));
   if (It == Services_.end() || !isFresh())
@@ -120,7 +120,6 @@
   return sendOpening(Decision::Kind::OpenRetried, P, Flow, Index);
 }
 
-/// An opening got no answer from the upstream.
 void PacketBalancer::Impl::recordUnansweredOpening(std::uint32_t Index) {
   recordOpeningFailure(Index);
   requestCheck(Index);
@@ -185,8 +184,7 @@
   return Limit;
 }
 
-/// Takes the cold upstreams of a service that limits them out of its
-/// candidates.
+/// Moves cold upstreams with a limit from the candidates to `ColdMembers_`.
 void PacketBalancer::Impl::separateCold(ServiceState &State,
                                         const ColdLimit &Limit) {
   State.ColdMembers_.clear();
@@ -206,9 +204,8 @@
   State.Eligible_ = std::move(Warm);
 }
 
-/// A cold upstream that this balancer may open a flow to. It goes before the
-/// warm ones: few flows are so led, and each takes load from the others while
-/// these are fewest.
+/// Returns a cold upstream to which this balancer may open a flow now, or
+/// `None`. Cold upstreams have priority because their limit admits few flows.
 std::uint32_t PacketBalancer::Impl::chooseCold(const ServiceState &State,
                                                FlowId Flow,
                                                const ColdLimit &Limit,
@@ -225,11 +222,9 @@
   return UpstreamTable::None;
 }
 
-/// The cookie alone decides, whichever service the address leads to by now: a
-/// balancer that has just started knows no earlier routing table, and a flow
-/// opened under one would get no answer. An upstream refuses flows that it
-/// doesn't hold, and only openings, which the table decides, make it hold one.
-/// Gain: 2.7% of requests while all balancers restart after a change of routes.
+/// Forwards by cookie alone, whichever service the address belongs to now: a
+/// balancer that has just started does not know the routing table under which a
+/// flow was opened. Upstreams refuse flows that they do not hold.
 Verdict PacketBalancer::Impl::routeByCookie(const Packet &P, FlowId Flow) {
   auto It = IndexOfCookie_.find(P.Cookie_);
   if (It == IndexOfCookie_.end())
@@ -244,7 +239,7 @@
   if (Routing_ && Table->Version_ <= Routing_->Version_)
     return;
   Routing_ = std::move(Table);
-  // Services that it names may be those of upstreams at a shared address.
+  // Upstreams of newly named services may take over their address.
   std::vector<Endpoint> Shared;
   for (const auto &[At, Rows] : IndexesByAddress_)
     if (Rows.size() > 1)
@@ -253,9 +248,8 @@
     endReplacedUpstreams(At);
 }
 
-/// Three times the usual, so that callers far away don't cost two connections
-/// for each flow: on a calm day with 40 ms to callers a constant 40 ms makes
-/// 1937 retries, this makes 77.
+/// Three times the average opening delay, so that openings of distant callers
+/// are not retried needlessly.
 Micros PacketBalancer::Impl::openingTimeout() const {
   constexpr int Times = 3;
   return std::min(OpeningDelay_.multiple(Times, UnansweredOpenings::MinTimeout),
@@ -266,7 +260,7 @@
   Now_ = Now;
   if (Now > NextTickDeadline_) {
     ++Counters_.LateWakes_;
-    ConfirmedAsOf_ = MonoTime{}; // whatever was known may be over
+    ConfirmedAsOf_ = MonoTime{}; // the state may be outdated
     clearHealthState();
   }
   NextTickDeadline_ = Now + TickInterval + LateTickThreshold;
