--- a/src/packet-balancer-impl.h
+++ b/src/packet-balancer-impl.h
@@ -149,7 +149,7 @@
   void subtractLoad(const detail::PacketFlowRow &Row);
   void addOrUpdate(const UpstreamChange &Change);
   void addEnded(const UpstreamChange &Change);
-  void remove(const UpstreamChange &Change, bool MayReturn);
+  void removeUpstream(const UpstreamChange &Change, bool MayReturn);
   void setGone(std::uint32_t Index);
   void expireUpstreams();
   void forgetUpstream(std::uint32_t Index);
--- a/src/packet-balancer-upstreams.cc
+++ b/src/packet-balancer-upstreams.cc
@@ -18,7 +18,7 @@
     else if (Change.Entry_)
       addOrUpdate(Change);
     else
-      remove(Change, MayReturn);
+      removeUpstream(Change, MayReturn);
   }
   BulkUpdate_ = false;
 }
@@ -146,8 +146,8 @@
   State.ListedInService_ = false;
 }
 
-void PacketBalancer::Impl::remove(const UpstreamChange &Change,
-                                  bool MayReturn) {
+void PacketBalancer::Impl::removeUpstream(const UpstreamChange &Change,
+                                          bool MayReturn) {
   std::uint32_t Index = indexOf(Change.Incarnation_);
   if (Index == UpstreamTable::None || UpstreamStates_[Index].Gone_)
     return;
--- a/test/answer-evidence-test.cc
+++ b/test/answer-evidence-test.cc
@@ -38,7 +38,7 @@
       : Right_(std::move(Right)), Failing_(Upstreams + 1, 0) {
     std::vector<UpstreamChange> Changes;
     for (std::uint64_t Id = 1; Id <= Upstreams; ++Id)
-      Changes.push_back(up(Id, Index));
+      Changes.push_back(publishedUpstream(Id, IndexService));
     for (std::size_t I = 0; I < Balancers; ++I) {
       Balancers_.push_back(PacketBalancerBuilder()
                                .onWarning([this, I](const UpstreamWarning &M) {
@@ -50,7 +50,7 @@
                                })
                                .build());
       PacketBalancer &B = Balancers_.back();
-      B.setRouting(at(0ms), table(1, {{IndexAt, Index}}));
+      B.setRouting(at(0ms), routingTable(1, {{IndexAddress, IndexService}}));
       B.applyUpstreams(at(0ms), Changes);
       B.confirmUpTo(at(0ms));
       B.setFleetSize(Balancers);
@@ -93,14 +93,14 @@
     std::size_t Which = Random_() % Balancers_.size();
     PacketBalancer &B = Balancers_[Which];
     std::uint16_t Port = ++Port_;
-    Verdict V = B.steer(clock(), opening(Port));
-    const Forward *F = forwarded(V);
+    Verdict V = B.steer(clock(), openingPacket(Port));
+    const Forward *F = asForward(V);
     REQUIRE(F);
     std::uniform_real_distribution<double> Draw(0, 1);
     bool Fails = Draw(Random_) < Failing_[raw(F->Upstream_)];
     std::uint32_t Bytes = Fails ? ErrorBytes : Right_(Random_);
-    B.steer(clock(), following(Port, F->Cookie_, 1, 100));
-    Packet End = following(Port, F->Cookie_, 1 + Bytes);
+    B.steer(clock(), flowPacket(Port, F->Cookie_, 1, 100));
+    Packet End = flowPacket(Port, F->Cookie_, 1 + Bytes);
     End.Finishes_ = true;
     B.steer(clock(), End);
     for (const auto &[From, M] : Told_)
--- a/test/cold-admission-test.cc
+++ b/test/cold-admission-test.cc
@@ -27,14 +27,15 @@
 FleetView alone() { return {1, {}, true}; }
 
 UpstreamChange cold(std::uint64_t Id, Micros For) {
-  UpstreamChange Change = up(Id, Index);
+  UpstreamChange Change = publishedUpstream(Id, IndexService);
   Change.Entry_->WarmAt_ = at(0ms) + For;
   return Change;
 }
 
 RoutingTablePtr limited(Version V, double PerSecond) {
-  auto Table = std::make_shared<RoutingTable>(*table(V, {{IndexAt, Index}}));
-  Table->ColdPerSecond_[raw(Index)] = PerSecond;
+  auto Table = std::make_shared<RoutingTable>(
+      *routingTable(V, {{IndexAddress, IndexService}}));
+  Table->ColdPerSecond_[raw(IndexService)] = PerSecond;
   return Table;
 }
 
@@ -49,8 +50,9 @@
 std::map<std::uint64_t, int> openings(PacketBalancer &B, Micros From) {
   std::map<std::uint64_t, int> Count;
   for (std::uint16_t I = 0; I < 100; ++I)
-    ++Count[upstreamOf(B.steer(at(0ms) + From + I * 10ms,
-                               opening(static_cast<std::uint16_t>(I + 1))))];
+    ++Count[upstreamOf(
+        B.steer(at(0ms) + From + I * 10ms,
+                openingPacket(static_cast<std::uint16_t>(I + 1))))];
   return Count;
 }
 
@@ -122,7 +124,8 @@
 TEST_CASE("new flows beyond a cold upstream's limit go to warm ones") {
   PacketBalancer B = withLimit(10);
   B.setFleet(alone());
-  B.applyUpstreams(at(0ms), {up(1, Index), up(2, Index), cold(3, 2s)});
+  B.applyUpstreams(at(0ms), {publishedUpstream(1, IndexService),
+                             publishedUpstream(2, IndexService), cold(3, 2s)});
   auto Count = openings(B, 0ms);
   CHECK(Count[3] > 0);
   CHECK(Count[3] <= 20);
@@ -141,7 +144,7 @@
   CHECK(Count[1] <= 8);
   CHECK(Count[2] <= 8);
   CHECK(Count[0] > 80);
-  Verdict V = B.steer(at(1s), opening(500));
+  Verdict V = B.steer(at(1s), openingPacket(500));
   REQUIRE(std::holds_alternative<ResetFlow>(V));
   CHECK(std::get<ResetFlow>(V).Error_ == ErrorKind::AllCold);
   CHECK(openings(B, 2s)[0] == 0);
@@ -154,10 +157,13 @@
   int Sent = 0;
   for (std::uint16_t Port = 1; Port <= 50; ++Port) {
     Micros When = Port * 20ms;
-    Sent += forwarded(B.steer(at(0ms) + When, opening(Port))) ? 1 : 0;
-    Sent +=
-        forwarded(B.retryOpening(at(0ms) + When + 5ms, opening(Port))) ? 1 : 0;
-    Sent += forwarded(B.steer(at(0ms) + When + 9ms, opening(Port, 1))) ? 1 : 0;
+    Sent += asForward(B.steer(at(0ms) + When, openingPacket(Port))) ? 1 : 0;
+    Sent += asForward(B.retryOpening(at(0ms) + When + 5ms, openingPacket(Port)))
+                ? 1
+                : 0;
+    Sent += asForward(B.steer(at(0ms) + When + 9ms, openingPacket(Port, 1)))
+                ? 1
+                : 0;
   }
   CHECK(Sent > 0);
   CHECK(Sent <= 8);
--- a/test/ended-answers-test.cc
+++ b/test/ended-answers-test.cc
@@ -12,15 +12,15 @@
 MonoTime at(std::chrono::milliseconds Time) { return MonoTime(100s + Time); }
 
 /// An exchange that has just started, with peers that a test speaks for.
-class Newcomer {
+class StartingBalancer {
 public:
-  Newcomer() : News_({member(0), {}}, hooks()) {
+  StartingBalancer() : News_({member(0), {}}, hooks()) {
     for (std::uint64_t Peer = 1; Peer <= 5; ++Peer)
       News_.opened(at(0ms), LinkId{Peer}, false);
   }
 
   /// A heartbeat of a peer that knows of one change more each time.
-  void beat(std::chrono::milliseconds Time, std::uint64_t Peer) {
+  void heartbeat(std::chrono::milliseconds Time, std::uint64_t Peer) {
     PeerHeartbeat M;
     M.Sender_ = member(Peer);
     M.Through_ = ++Published_;
@@ -36,8 +36,8 @@
   }
 
   /// Peers that were asked for ended upstreams.
-  std::set<std::uint64_t> AskedEnded_;
-  std::size_t Asked_ = 0; ///< Questions in all.
+  std::set<std::uint64_t> AskedForEnded_;
+  std::size_t Requests_ = 0; ///< Questions in all.
 
 private:
   static Member member(std::uint64_t Which) {
@@ -51,9 +51,9 @@
       const auto *Wanted = std::get_if<NewsWanted>(&M);
       if (!Wanted)
         return;
-      ++Asked_;
+      ++Requests_;
       if (Wanted->Ended_)
-        AskedEnded_.insert(static_cast<std::uint64_t>(Link));
+        AskedForEnded_.insert(static_cast<std::uint64_t>(Link));
     };
     Hooks.Connect_ = [](const Endpoint &) {};
     Hooks.Close_ = [](LinkId) {};
@@ -72,28 +72,28 @@
 
 TEST_CASE("three peers are asked for ended upstreams, however much other news "
           "the first one sends") {
-  Newcomer N;
+  StartingBalancer N;
   for (auto Time = 0ms; Time < 1000ms; Time += 100ms) {
-    N.beat(Time, 1);
+    N.heartbeat(Time, 1);
     N.answer(Time + 10ms, 1);
   }
-  CHECK(N.Asked_ == 10);
-  CHECK(N.AskedEnded_ == std::set<std::uint64_t>{1});
+  CHECK(N.Requests_ == 10);
+  CHECK(N.AskedForEnded_ == std::set<std::uint64_t>{1});
   for (std::uint64_t Peer = 2; Peer <= 5; ++Peer) {
     auto Time = 1000ms + Peer * 100ms;
-    N.beat(Time, Peer);
+    N.heartbeat(Time, Peer);
     N.answer(Time + 10ms, Peer);
   }
-  CHECK(N.AskedEnded_ == std::set<std::uint64_t>{1, 2, 3});
+  CHECK(N.AskedForEnded_ == std::set<std::uint64_t>{1, 2, 3});
 }
 
 TEST_CASE("a peer that never answered does not count") {
-  Newcomer N;
-  N.beat(0ms, 1); // asked, and silent
+  StartingBalancer N;
+  N.heartbeat(0ms, 1); // asked, and silent
   for (std::uint64_t Peer = 2; Peer <= 5; ++Peer) {
     auto Time = 300ms + Peer * 100ms;
-    N.beat(Time, Peer);
+    N.heartbeat(Time, Peer);
     N.answer(Time + 10ms, Peer);
   }
-  CHECK(N.AskedEnded_ == std::set<std::uint64_t>{1, 2, 3, 4});
+  CHECK(N.AskedForEnded_ == std::set<std::uint64_t>{1, 2, 3, 4});
 }
--- a/test/flow-fleet-test.cc
+++ b/test/flow-fleet-test.cc
@@ -26,7 +26,7 @@
     Fleet.run(Gap);
     Fleet.restart(Which);
     Fleet.run(Gap);
-    Fleet.sendAll();
+    Fleet.sendOnAllFlows();
   }
 }
 
@@ -41,14 +41,14 @@
           "balancer") {
   FlowFleet Fleet(4);
   openSome(Fleet, 4);
-  REQUIRE(Fleet.flows() == 12);
+  REQUIRE(Fleet.openFlows() == 12);
   Fleet.setRoute(0, {Second});
   restartInTurn(Fleet, 4, 800ms);
-  Fleet.run(FlowFleet::Started);
-  Fleet.sendAll();
-  CHECK(Fleet.delivered() > 0);
-  CHECK(Fleet.lost() == 0);
-  CHECK(Fleet.wrongService() == 0);
+  Fleet.run(FlowFleet::StartupTime);
+  Fleet.sendOnAllFlows();
+  CHECK(Fleet.deliveredPackets() > 0);
+  CHECK(Fleet.lostPackets() == 0);
+  CHECK(Fleet.misroutedOpenings() == 0);
 }
 
 TEST_CASE("and so when all start at once, as long as the upstream is "
@@ -60,10 +60,10 @@
     Fleet.kill(Which);
   for (std::size_t Which = 0; Which < 4; ++Which)
     Fleet.restart(Which);
-  Fleet.run(FlowFleet::Started);
-  Fleet.sendAll();
-  CHECK(Fleet.delivered() == 4 * Fleet.flows());
-  CHECK(Fleet.lost() == 0);
+  Fleet.run(FlowFleet::StartupTime);
+  Fleet.sendOnAllFlows();
+  CHECK(Fleet.deliveredPackets() == 4 * Fleet.openFlows());
+  CHECK(Fleet.lostPackets() == 0);
 }
 
 TEST_CASE("flows at an upstream that is published no more survive a restart "
@@ -78,10 +78,10 @@
   Fleet.unpublish(Leaving);
   Fleet.run(500ms);
   restartInTurn(Fleet, 5, 800ms);
-  Fleet.run(FlowFleet::Started);
-  Fleet.sendAll();
-  CHECK(Fleet.delivered() > 0);
-  CHECK(Fleet.lost() == 0);
+  Fleet.run(FlowFleet::StartupTime);
+  Fleet.sendOnAllFlows();
+  CHECK(Fleet.deliveredPackets() > 0);
+  CHECK(Fleet.lostPackets() == 0);
 }
 
 TEST_CASE("a cookie of another upstream reaches one that refuses it") {
@@ -90,12 +90,12 @@
   Fleet.run(1s);
   REQUIRE(Fleet.open(0, 0));
   for (Incarnation Other : Added) {
-    std::size_t Before = Fleet.refused();
-    auto Mark = static_cast<Cookie>(raw(Other));
-    if (Mark == Fleet.cookie(0))
+    std::size_t Before = Fleet.refusedPackets();
+    auto FlowCookie = static_cast<Cookie>(raw(Other));
+    if (FlowCookie == Fleet.cookie(0))
       continue;
-    CHECK_FALSE(Fleet.send(1, 0, Mark)); // a reset, and nothing has run
-    CHECK(Fleet.refused() == Before + 1);
+    CHECK_FALSE(Fleet.send(1, 0, FlowCookie)); // a reset, and nothing has run
+    CHECK(Fleet.refusedPackets() == Before + 1);
   }
 }
 
@@ -144,18 +144,18 @@
         Fleet.kill(C);
         Fleet.run(anyGap());
         Fleet.restart(C);
-        Fleet.run(FlowFleet::Started);
-        Fleet.sendAll();
+        Fleet.run(FlowFleet::StartupTime);
+        Fleet.sendOnAllFlows();
         if (A != B)
           Fleet.news().setHeldUp(A, B, false);
         break;
       }
       }
       Fleet.run(700ms);
-      Fleet.sendAll();
+      Fleet.sendOnAllFlows();
     }
-    RC_ASSERT(Fleet.lost() == 0U);
-    RC_ASSERT(Fleet.wrongService() == 0U);
-    RC_ASSERT(Fleet.delivered() > 0U);
+    RC_ASSERT(Fleet.lostPackets() == 0U);
+    RC_ASSERT(Fleet.misroutedOpenings() == 0U);
+    RC_ASSERT(Fleet.deliveredPackets() > 0U);
   });
 }
--- a/test/flow-fleet.cc
+++ b/test/flow-fleet.cc
@@ -17,7 +17,7 @@
   for (std::size_t Service = 0; Service < Services; ++Service)
     for (int I = 0; I < 3; ++I)
       addUpstream(Service);
-  run(Started * 2);
+  run(StartupTime * 2);
 }
 
 MemberHooks FlowFleet::hooks() {
@@ -62,7 +62,7 @@
   std::vector<ServiceShare> Shares;
   for (ServiceId Service : To) {
     Shares.push_back({Service, 1});
-    EverAllowed_[addressOf(Address)].insert(Service);
+    AllowedServices_[addressOf(Address)].insert(Service);
   }
   Table_.Addresses_[addressOf(Address)] = Shares;
   News_->publishRouting(Table_);
@@ -88,22 +88,24 @@
   News_->publish(Which, std::nullopt);
 }
 
-void FlowFleet::end(Incarnation Which) { Upstreams_[Which].Lives_ = false; }
+void FlowFleet::terminate(Incarnation Which) {
+  Upstreams_[Which].Alive_ = false;
+}
 
-bool FlowFleet::arrive(const Forward &F, const Packet &P) {
-  auto Known = Upstreams_.find(F.Upstream_);
-  if (Known == Upstreams_.end() || !Known->second.Lives_)
+bool FlowFleet::deliver(const Forward &F, const Packet &P) {
+  auto It = Upstreams_.find(F.Upstream_);
+  if (It == Upstreams_.end() || !It->second.Alive_)
     return false;
-  ModelUpstream &Up = Known->second;
+  ModelUpstream &Upstream = It->second;
   if (P.Opens_) {
-    if (EverAllowed_[P.Service_].count(Up.Entry_.Service_) == 0)
-      ++WrongService_;
-    Up.Flows_.insert(flowOf(P));
+    if (AllowedServices_[P.Service_].count(Upstream.Entry_.Service_) == 0)
+      ++MisroutedOpenings_;
+    Upstream.Flows_.insert(flowOf(P));
     return true;
   }
-  bool Holds = Up.Flows_.count(flowOf(P)) != 0;
+  bool Holds = Upstream.Flows_.count(flowOf(P)) != 0;
   if (!Holds)
-    ++Refused_;
+    ++RefusedPackets_;
   return Holds;
 }
 
@@ -117,34 +119,34 @@
     return false;
   Verdict V = B.Core_->steer(News_->clock(), P);
   const auto *F = std::get_if<Forward>(&V);
-  if (!F || !arrive(*F, P))
+  if (!F || !deliver(*F, P))
     return false;
   Flows_.push_back({P, F->Cookie_, F->Upstream_});
   return true;
 }
 
-bool FlowFleet::send(std::size_t Which, std::size_t Flow, Cookie Mark) {
+bool FlowFleet::send(std::size_t Which, std::size_t Flow, Cookie FlowCookie) {
   Packet P = Flows_[Flow].Opening_;
   P.Opens_ = false;
   P.Acknowledges_ = true;
   P.Acknowledged_ = 1;
-  P.Cookie_ = Mark;
+  P.Cookie_ = FlowCookie;
   Verdict V = Balancers_[Which].Core_->steer(News_->clock(), P);
   const auto *F = std::get_if<Forward>(&V);
-  return F && arrive(*F, P);
+  return F && deliver(*F, P);
 }
 
-void FlowFleet::sendAll() {
+void FlowFleet::sendOnAllFlows() {
   for (std::size_t Which = 0; Which < Balancers_.size(); ++Which) {
     const Balancer &B = Balancers_[Which];
-    if (!B.Alive_ || News_->clock() - B.StartedAt_ < Started)
+    if (!B.Alive_ || News_->clock() - B.StartedAt_ < StartupTime)
       continue;
     for (std::size_t Flow = 0; Flow < Flows_.size(); ++Flow) {
       const OpenFlow &F = Flows_[Flow];
-      if (!Upstreams_[F.Upstream_].Lives_)
+      if (!Upstreams_[F.Upstream_].Alive_)
         continue;
-      ++(send(Which, Flow, F.Cookie_) ? Delivered_ : Lost_);
-      for (const auto &[Other, Up] : Upstreams_)
+      ++(send(Which, Flow, F.Cookie_) ? DeliveredPackets_ : LostPackets_);
+      for (const auto &[Other, Upstream] : Upstreams_)
         if (Other != F.Upstream_)
           send(Which, Flow, static_cast<Cookie>(raw(Other)));
     }
--- a/test/flow-fleet.h
+++ b/test/flow-fleet.h
@@ -15,7 +15,7 @@
   static constexpr std::size_t Addresses = 3;
   static constexpr std::size_t Services = 2;
   /// From a balancer's start to the answers of its first calls and peers.
-  static constexpr Micros Started = std::chrono::milliseconds(1500);
+  static constexpr Micros StartupTime = std::chrono::milliseconds(1500);
 
   explicit FlowFleet(std::size_t Balancers);
 
@@ -32,26 +32,26 @@
   void drain(Incarnation Which);
   void unpublish(Incarnation Which);
   /// It ends, and its flows with it.
-  void end(Incarnation Which);
+  void terminate(Incarnation Which);
 
   /// Opens a flow through a balancer; false when it didn't open.
   bool open(std::size_t Balancer, std::size_t Address);
   /// Sends a packet of every open flow whose upstream lives through every
-  /// balancer that has been running for `Started`, and some with a cookie of
-  /// another upstream.
-  void sendAll();
+  /// balancer that has been running for `StartupTime`, and some with a cookie
+  /// of another upstream.
+  void sendOnAllFlows();
   /// The same, of one flow, with whatever cookie.
-  bool send(std::size_t Balancer, std::size_t Flow, Cookie Mark);
+  bool send(std::size_t Balancer, std::size_t Flow, Cookie FlowCookie);
   Cookie cookie(std::size_t Flow) const { return Flows_[Flow].Cookie_; }
 
-  std::size_t flows() const { return Flows_.size(); }
+  std::size_t openFlows() const { return Flows_.size(); }
   /// Packets of open flows that did not reach their upstream.
-  std::size_t lost() const { return Lost_; }
-  std::size_t delivered() const { return Delivered_; }
+  std::size_t lostPackets() const { return LostPackets_; }
+  std::size_t deliveredPackets() const { return DeliveredPackets_; }
   /// Openings taken by a service that no table ever gave to their address.
-  std::size_t wrongService() const { return WrongService_; }
+  std::size_t misroutedOpenings() const { return MisroutedOpenings_; }
   /// Packets that upstreams answered with a reset: they don't hold the flow.
-  std::size_t refused() const { return Refused_; }
+  std::size_t refusedPackets() const { return RefusedPackets_; }
 
 private:
   struct OpenFlow {
@@ -62,7 +62,7 @@
   struct ModelUpstream {
     UpstreamEntry Entry_;
     std::set<FlowId> Flows_;
-    bool Lives_ = true;
+    bool Alive_ = true;
   };
   struct Balancer {
     std::unique_ptr<PacketBalancer> Core_;
@@ -72,22 +72,22 @@
 
   MemberHooks hooks();
   /// What an upstream does with a packet: true when it takes it.
-  bool arrive(const Forward &F, const Packet &P);
+  bool deliver(const Forward &F, const Packet &P);
   std::size_t anyBalancer() const;
 
   std::vector<Balancer> Balancers_;
   std::map<Incarnation, ModelUpstream> Upstreams_;
   std::vector<OpenFlow> Flows_;
   RoutingTable Table_;
-  std::map<Endpoint, std::set<ServiceId>> EverAllowed_;
+  std::map<Endpoint, std::set<ServiceId>> AllowedServices_;
   std::unique_ptr<NewsFleet> News_;
   Micros RunTo_{}; ///< In virtual time from the start.
   std::uint64_t LastUpstream_ = 1000;
   std::uint16_t LastPort_ = 1000;
-  std::size_t Lost_ = 0;
-  std::size_t Delivered_ = 0;
-  std::size_t WrongService_ = 0;
-  std::size_t Refused_ = 0;
+  std::size_t LostPackets_ = 0;
+  std::size_t DeliveredPackets_ = 0;
+  std::size_t MisroutedOpenings_ = 0;
+  std::size_t RefusedPackets_ = 0;
 };
 
 } // namespace thymewall::test
--- a/test/packet-balancer-test.cc
+++ b/test/packet-balancer-test.cc
@@ -8,65 +8,68 @@
 using namespace std::chrono_literals;
 
 TEST_CASE("a flow stays at its upstream at every balancer that has the list") {
-  PacketBalancer A = started();
-  PacketBalancer B = started();
+  PacketBalancer A = makeBalancer();
+  PacketBalancer B = makeBalancer();
   for (std::uint16_t Port = 1; Port < 200; ++Port) {
-    Verdict Opened = A.steer(at(10ms), opening(Port));
-    REQUIRE(forwarded(Opened));
-    Cookie Mark = forwarded(Opened)->Cookie_;
-    CHECK(upstreamOf(A.steer(at(20ms), following(Port, Mark, 1, 100))) ==
+    Verdict Opened = A.steer(at(10ms), openingPacket(Port));
+    REQUIRE(asForward(Opened));
+    Cookie FlowCookie = asForward(Opened)->Cookie_;
+    CHECK(upstreamOf(A.steer(at(20ms), flowPacket(Port, FlowCookie, 1, 100))) ==
           upstreamOf(Opened));
-    CHECK(upstreamOf(B.steer(at(20ms), following(Port, Mark, 1, 100))) ==
+    CHECK(upstreamOf(B.steer(at(20ms), flowPacket(Port, FlowCookie, 1, 100))) ==
           upstreamOf(Opened));
   }
 }
 
 TEST_CASE("an unanswered opening goes to another upstream of its service") {
-  PacketBalancer B = started();
+  PacketBalancer B = makeBalancer();
   for (std::uint16_t Port = 1; Port < 100; ++Port) {
-    Verdict First = B.steer(at(10ms), opening(Port));
-    Verdict Second = B.retryOpening(at(50ms), opening(Port));
-    REQUIRE(forwarded(Second));
+    Verdict First = B.steer(at(10ms), openingPacket(Port));
+    Verdict Second = B.retryOpening(at(50ms), openingPacket(Port));
+    REQUIRE(asForward(Second));
     CHECK(upstreamOf(Second) != upstreamOf(First));
     CHECK(upstreamOf(Second) <= 4);
     // Whichever answer the caller takes, its cookie leads there.
     for (const Verdict &Taken : {First, Second})
       CHECK(upstreamOf(B.steer(
-                at(60ms), following(Port, forwarded(Taken)->Cookie_, 1))) ==
+                at(60ms), flowPacket(Port, asForward(Taken)->Cookie_, 1))) ==
             upstreamOf(Taken));
   }
 }
 
 TEST_CASE("an opening that was answered is not sent again") {
-  PacketBalancer B = started();
-  Verdict Opened = B.steer(at(10ms), opening(1));
-  B.steer(at(20ms), following(1, forwarded(Opened)->Cookie_, 1));
-  CHECK_FALSE(forwarded(B.retryOpening(at(50ms), opening(1))));
+  PacketBalancer B = makeBalancer();
+  Verdict Opened = B.steer(at(10ms), openingPacket(1));
+  B.steer(at(20ms), flowPacket(1, asForward(Opened)->Cookie_, 1));
+  CHECK_FALSE(asForward(B.retryOpening(at(50ms), openingPacket(1))));
   // Nor one of a flow that is not known here any more, or whose address the
   // operators have taken away meanwhile.
-  CHECK_FALSE(forwarded(B.retryOpening(at(50ms), opening(2))));
-  B.steer(at(60ms), opening(3));
-  B.setRouting(at(70ms), table(2, {{ArchiveAt, Archive}}));
-  CHECK_FALSE(forwarded(B.retryOpening(at(100ms), opening(3))));
+  CHECK_FALSE(asForward(B.retryOpening(at(50ms), openingPacket(2))));
+  B.steer(at(60ms), openingPacket(3));
+  B.setRouting(at(70ms), routingTable(2, {{ArchiveAddress, ArchiveService}}));
+  CHECK_FALSE(asForward(B.retryOpening(at(100ms), openingPacket(3))));
   CHECK(B.counters().OpenRetried_ == 0);
 }
 
 TEST_CASE("with one upstream there is nowhere else to send an opening") {
-  PacketBalancer B = started();
-  B.applyUpstreams(at(0ms), {gone(12)});
-  REQUIRE(upstreamOf(B.steer(at(10ms), opening(1, 0, ArchiveAt))) == 11);
-  CHECK_FALSE(forwarded(B.retryOpening(at(50ms), opening(1, 0, ArchiveAt))));
+  PacketBalancer B = makeBalancer();
+  B.applyUpstreams(at(0ms), {removedUpstream(12)});
+  REQUIRE(upstreamOf(B.steer(at(10ms), openingPacket(1, 0, ArchiveAddress))) ==
+          11);
+  CHECK_FALSE(
+      asForward(B.retryOpening(at(50ms), openingPacket(1, 0, ArchiveAddress))));
 }
 
 TEST_CASE("services never mix") {
-  PacketBalancer B = started();
+  PacketBalancer B = makeBalancer();
   for (std::uint16_t Port = 1; Port < 100; ++Port) {
-    CHECK(upstreamOf(B.steer(at(1ms), opening(Port))) <= 4);
-    CHECK(upstreamOf(B.steer(at(1ms), opening(Port, 0, ArchiveAt))) >= 11);
+    CHECK(upstreamOf(B.steer(at(1ms), openingPacket(Port))) <= 4);
+    CHECK(upstreamOf(
+              B.steer(at(1ms), openingPacket(Port, 0, ArchiveAddress))) >= 11);
   }
   // Nor does a copy or a retry of an opening, whatever cookie it carries.
   for (std::uint16_t Port = 1; Port < 100; ++Port) {
-    Packet Copy = opening(Port, 1);
+    Packet Copy = openingPacket(Port, 1);
     Copy.Cookie_ = 11;
     CHECK(upstreamOf(B.steer(at(2ms), Copy)) <= 4);
     CHECK(upstreamOf(B.retryOpening(at(3ms), Copy)) <= 4);
@@ -75,108 +78,110 @@
 
 TEST_CASE("a packet that opens nothing goes to the upstream of its cookie "
           "alone, or nowhere") {
-  PacketBalancer B = started();
+  PacketBalancer B = makeBalancer();
   // Whichever service its address leads to now: an upstream refuses what it
   // doesn't hold, and openings alone decide what it holds.
   for (std::uint64_t Id : {1, 2, 3, 4, 11, 12})
-    for (const Endpoint &To : {IndexAt, ArchiveAt}) {
+    for (const Endpoint &To : {IndexAddress, ArchiveAddress}) {
       Verdict V =
-          B.steer(at(2ms), following(7, static_cast<Cookie>(Id), 1, 0, To));
+          B.steer(at(2ms), flowPacket(7, static_cast<Cookie>(Id), 1, 0, To));
       CHECK(upstreamOf(V) == Id);
-      CHECK(raw(forwarded(V)->Upstream_) == Id);
+      CHECK(raw(asForward(V)->Upstream_) == Id);
     }
-  CHECK(dropReason(B.steer(at(2ms), following(7, 5, 1))) ==
+  CHECK(dropReason(B.steer(at(2ms), flowPacket(7, 5, 1))) ==
         ErrorKind::UnknownCookie);
   // An address that was taken away gets nothing through.
-  B.setRouting(at(3ms), table(2, {{IndexAt, Index}}));
+  B.setRouting(at(3ms), routingTable(2, {{IndexAddress, IndexService}}));
   B.confirmUpTo(at(3ms));
-  Verdict V = B.steer(at(4ms), following(7, 11, 1, 0, ArchiveAt));
-  CHECK_FALSE(forwarded(V));
+  Verdict V = B.steer(at(4ms), flowPacket(7, 11, 1, 0, ArchiveAddress));
+  CHECK_FALSE(asForward(V));
 }
 
 TEST_CASE("what is no caller's packet goes nowhere") {
-  PacketBalancer B = started();
-  Packet P = opening(1);
+  PacketBalancer B = makeBalancer();
+  Packet P = openingPacket(1);
   P.Acknowledges_ = true;
   P.Cookie_ = 1;
   CHECK(dropReason(B.steer(at(1ms), P)) == ErrorKind::NotFromCaller);
-  CHECK(dropReason(B.steer(at(1ms), following(1, 99, 1))) ==
+  CHECK(dropReason(B.steer(at(1ms), flowPacket(1, 99, 1))) ==
         ErrorKind::UnknownCookie);
-  CHECK(dropReason(B.steer(at(1ms), following(1, 0, 1))) ==
+  CHECK(dropReason(B.steer(at(1ms), flowPacket(1, 0, 1))) ==
         ErrorKind::UnknownCookie);
 }
 
 TEST_CASE("a copy of an opening packet goes to another upstream") {
-  PacketBalancer B = started();
+  PacketBalancer B = makeBalancer();
   for (std::uint16_t Port = 1; Port < 100; ++Port) {
-    std::uint64_t First = upstreamOf(B.steer(at(0ms), opening(Port)));
-    std::uint64_t Second = upstreamOf(B.steer(at(200ms), opening(Port, 1)));
+    std::uint64_t First = upstreamOf(B.steer(at(0ms), openingPacket(Port)));
+    std::uint64_t Second =
+        upstreamOf(B.steer(at(200ms), openingPacket(Port, 1)));
     CHECK(First != Second);
     CHECK(Second != 0);
     // Answered: an upstream that is new to the flow is not held against it.
-    Packet P = following(Port, static_cast<Cookie>(Second), 1);
+    Packet P = flowPacket(Port, static_cast<Cookie>(Second), 1);
     CHECK(upstreamOf(B.steer(at(210ms), P)) == Second);
   }
 }
 
 TEST_CASE("an upstream that answers no opening is ejected, but not all are") {
-  PacketBalancer B = started();
-  std::map<std::uint64_t, int> Got;
+  PacketBalancer B = makeBalancer();
+  std::map<std::uint64_t, int> Openings;
   for (std::uint16_t Port = 1; Port < 200; ++Port) {
-    std::uint64_t Which = upstreamOf(B.steer(at(0ms), opening(Port)));
-    ++Got[Which];
+    std::uint64_t Which = upstreamOf(B.steer(at(0ms), openingPacket(Port)));
+    ++Openings[Which];
     if (Which == 1)
-      B.steer(at(200ms), opening(Port, 1));
+      B.steer(at(200ms), openingPacket(Port, 1));
     else
-      B.steer(at(5ms), following(Port, static_cast<Cookie>(Which), 1));
+      B.steer(at(5ms), flowPacket(Port, static_cast<Cookie>(Which), 1));
   }
-  CHECK(Got[1] < Got[2] / 2);
+  CHECK(Openings[1] < Openings[2] / 2);
   for (std::uint16_t Port = 300; Port < 400; ++Port)
-    B.steer(at(300ms), opening(Port, 1)); // nobody answers any more
-  CHECK(upstreamOf(B.steer(at(400ms), opening(900))) != 0);
+    B.steer(at(300ms), openingPacket(Port, 1)); // nobody answers any more
+  CHECK(upstreamOf(B.steer(at(400ms), openingPacket(900))) != 0);
 }
 
 TEST_CASE("a draining upstream keeps its flows and gets no new ones") {
-  PacketBalancer B = started();
-  B.applyUpstreams(at(10ms), {up(1, Index, true)});
+  PacketBalancer B = makeBalancer();
+  B.applyUpstreams(at(10ms), {publishedUpstream(1, IndexService, true)});
   for (std::uint16_t Port = 1; Port < 100; ++Port)
-    CHECK(upstreamOf(B.steer(at(11ms), opening(Port))) != 1);
-  CHECK(upstreamOf(B.steer(at(11ms), following(1000, 1, 1))) == 1);
+    CHECK(upstreamOf(B.steer(at(11ms), openingPacket(Port))) != 1);
+  CHECK(upstreamOf(B.steer(at(11ms), flowPacket(1000, 1, 1))) == 1);
 }
 
 TEST_CASE("a gone upstream keeps its flows for a flow's lifetime and is then "
           "forgotten") {
-  PacketBalancer B = started();
-  B.applyUpstreams(at(10ms), {gone(1)});
+  PacketBalancer B = makeBalancer();
+  B.applyUpstreams(at(10ms), {removedUpstream(1)});
   for (std::uint16_t Port = 1; Port < 100; ++Port)
-    CHECK(upstreamOf(B.steer(at(11ms), opening(Port))) != 1);
-  CHECK(upstreamOf(B.steer(at(11ms), following(1000, 1, 1))) == 1);
+    CHECK(upstreamOf(B.steer(at(11ms), openingPacket(Port))) != 1);
+  CHECK(upstreamOf(B.steer(at(11ms), flowPacket(1000, 1, 1))) == 1);
   for (auto Time = 0ms; Time < 70s; Time += 250ms)
     B.tick(at(Time));
-  CHECK(dropReason(B.steer(at(70s), following(1000, 1, 1))) ==
+  CHECK(dropReason(B.steer(at(70s), flowPacket(1000, 1, 1))) ==
         ErrorKind::UnknownCookie);
   // The row is used again by another upstream.
-  B.applyUpstreams(at(70s), {up(5, Archive)});
-  CHECK(upstreamOf(B.steer(at(70s), following(1, 5, 1, 0, ArchiveAt))) == 5);
+  B.applyUpstreams(at(70s), {publishedUpstream(5, ArchiveService)});
+  CHECK(upstreamOf(B.steer(at(70s), flowPacket(1, 5, 1, 0, ArchiveAddress))) ==
+        5);
   for (std::uint16_t Port = 1; Port < 100; ++Port)
-    CHECK(upstreamOf(B.steer(at(70s), opening(Port))) != 5);
+    CHECK(upstreamOf(B.steer(at(70s), openingPacket(Port))) != 5);
 }
 
 TEST_CASE("an upstream that is missing after an outage has two seconds") {
-  PacketBalancer B = started();
-  auto Takes = [&](std::chrono::milliseconds Time) {
+  PacketBalancer B = makeBalancer();
+  auto ReceivesFlows = [&](std::chrono::milliseconds Time) {
     for (std::uint16_t Port = 1; Port < 100; ++Port)
-      if (upstreamOf(B.steer(at(Time), opening(Port))) == 1)
+      if (upstreamOf(B.steer(at(Time), openingPacket(Port))) == 1)
         return true;
     return false;
   };
-  B.applyUpstreams(at(0ms), {gone(1), gone(2)}, true);
-  CHECK(Takes(1500ms));
-  B.applyUpstreams(at(1600ms), {up(2, Index)});
+  B.applyUpstreams(at(0ms), {removedUpstream(1), removedUpstream(2)}, true);
+  CHECK(ReceivesFlows(1500ms));
+  B.applyUpstreams(at(1600ms), {publishedUpstream(2, IndexService)});
   for (auto Time = 250ms; Time < 2500ms; Time += 250ms)
     B.tick(at(Time));
-  CHECK_FALSE(Takes(2500ms));
-  CHECK(upstreamOf(B.steer(at(2500ms), following(1000, 2, 1))) == 2);
+  CHECK_FALSE(ReceivesFlows(2500ms));
+  CHECK(upstreamOf(B.steer(at(2500ms), flowPacket(1000, 2, 1))) == 2);
   PacketStatus S = B.status(at(2500ms));
   for (const UpstreamStatus &U : S.Upstreams_)
     CHECK(U.ExclusionReason_ ==
@@ -185,60 +190,63 @@
 
 TEST_CASE("an address taken over by another service's upstream is another "
           "upstream") {
-  PacketBalancer B = started();
-  B.applyUpstreams(at(10ms), {gone(1), up(21, Archive, false, 0x0a000001)});
-  Verdict Old = B.steer(at(11ms), following(1, 1, 1));
-  REQUIRE(forwarded(Old));
-  CHECK(raw(forwarded(Old)->Upstream_) == 1); // silent at the new one
+  PacketBalancer B = makeBalancer();
+  B.applyUpstreams(at(10ms),
+                   {removedUpstream(1),
+                    publishedUpstream(21, ArchiveService, false, 0x0a000001)});
+  Verdict Old = B.steer(at(11ms), flowPacket(1, 1, 1));
+  REQUIRE(asForward(Old));
+  CHECK(raw(asForward(Old)->Upstream_) == 1); // silent at the new one
   for (std::uint16_t Port = 1; Port < 100; ++Port)
-    CHECK(upstreamOf(B.steer(at(11ms), opening(Port))) <= 4);
+    CHECK(upstreamOf(B.steer(at(11ms), openingPacket(Port))) <= 4);
 }
 
 TEST_CASE("a peer's news of an upstream that has ended leads its flows there, "
           "and opens none") {
-  PacketBalancer B = started();
-  UpstreamChange Ended = up(5, Index);
+  PacketBalancer B = makeBalancer();
+  UpstreamChange Ended = publishedUpstream(5, IndexService);
   Ended.Ended_ = true;
   B.applyUpstreams(at(10ms), {Ended});
-  CHECK(upstreamOf(B.steer(at(11ms), following(1, 5, 1))) == 5);
+  CHECK(upstreamOf(B.steer(at(11ms), flowPacket(1, 5, 1))) == 5);
   for (std::uint16_t Port = 1; Port < 100; ++Port)
-    CHECK(upstreamOf(B.steer(at(11ms), opening(Port))) != 5);
+    CHECK(upstreamOf(B.steer(at(11ms), openingPacket(Port))) != 5);
   // One that is published here is known better.
-  Ended = up(1, Index);
+  Ended = publishedUpstream(1, IndexService);
   Ended.Ended_ = true;
   B.applyUpstreams(at(12ms), {Ended});
-  bool Takes = false;
+  bool ReceivesFlows = false;
   for (std::uint16_t Port = 200; Port < 300; ++Port)
-    Takes |= upstreamOf(B.steer(at(13ms), opening(Port))) == 1;
-  CHECK(Takes);
+    ReceivesFlows |= upstreamOf(B.steer(at(13ms), openingPacket(Port))) == 1;
+  CHECK(ReceivesFlows);
   // Back in the list, it takes flows again.
-  B.applyUpstreams(at(14ms), {up(5, Index)});
-  Takes = false;
+  B.applyUpstreams(at(14ms), {publishedUpstream(5, IndexService)});
+  ReceivesFlows = false;
   for (std::uint16_t Port = 300; Port < 500; ++Port)
-    Takes |= upstreamOf(B.steer(at(15ms), opening(Port))) == 5;
-  CHECK(Takes);
+    ReceivesFlows |= upstreamOf(B.steer(at(15ms), openingPacket(Port))) == 5;
+  CHECK(ReceivesFlows);
 }
 
 TEST_CASE("of two upstreams with one cookie the earlier one keeps it") {
-  PacketBalancer B = started();
-  std::uint64_t Twin = (std::uint64_t{7} << 32) | 1;
-  B.applyUpstreams(at(1ms), {up(Twin, Index)});
+  PacketBalancer B = makeBalancer();
+  std::uint64_t Collision = (std::uint64_t{7} << 32) | 1;
+  B.applyUpstreams(at(1ms), {publishedUpstream(Collision, IndexService)});
   for (std::uint16_t Port = 1; Port < 200; ++Port)
-    CHECK(upstreamOf(B.steer(at(2ms), opening(Port))) != Twin);
-  CHECK(upstreamOf(B.steer(at(2ms), following(1, 1, 1))) == 1);
-  B.applyUpstreams(at(3ms), {gone(Twin)}); // ends without harm to the other
-  CHECK(upstreamOf(B.steer(at(4ms), following(1, 1, 1))) == 1);
+    CHECK(upstreamOf(B.steer(at(2ms), openingPacket(Port))) != Collision);
+  CHECK(upstreamOf(B.steer(at(2ms), flowPacket(1, 1, 1))) == 1);
+  B.applyUpstreams(
+      at(3ms), {removedUpstream(Collision)}); // ends without harm to the other
+  CHECK(upstreamOf(B.steer(at(4ms), flowPacket(1, 1, 1))) == 1);
 }
 
 TEST_CASE("an unknown address is reset only on fresh knowledge") {
-  PacketBalancer B = started();
-  const Endpoint Nowhere = Endpoint::v4(0xc6120009, 1);
-  Packet P = following(1, 1, 5000, 0, Nowhere);
+  PacketBalancer B = makeBalancer();
+  const Endpoint UnknownAddress = Endpoint::v4(0xc6120009, 1);
+  Packet P = flowPacket(1, 1, 5000, 0, UnknownAddress);
   Verdict V = B.steer(at(1000ms), P);
   const auto *Reset = std::get_if<ResetFlow>(&V);
   REQUIRE(Reset);
   CHECK(Reset->Caller_ == P.Caller_);
-  CHECK(Reset->Service_ == Nowhere);
+  CHECK(Reset->Service_ == UnknownAddress);
   CHECK(Reset->Sequence_ == 5000);
   CHECK(dropReason(B.steer(at(3000ms), P)) == ErrorKind::TableNotFresh);
   B.confirmUpTo(at(2900ms));
@@ -249,56 +257,57 @@
 TEST_CASE("before a routing table is known nothing is reset") {
   PacketBalancer B = PacketBalancerBuilder().build();
   CHECK_FALSE(B.ready());
-  CHECK(dropReason(B.steer(at(1ms), opening(1))) == ErrorKind::TableNotFresh);
-  B.setRouting(at(1ms), table(1, {{IndexAt, Index}}));
+  CHECK(dropReason(B.steer(at(1ms), openingPacket(1))) ==
+        ErrorKind::TableNotFresh);
+  B.setRouting(at(1ms), routingTable(1, {{IndexAddress, IndexService}}));
   CHECK_FALSE(B.ready());
   B.applyUpstreams(at(1ms), {});
   CHECK(B.ready());
-  CHECK(dropReason(B.steer(at(1ms), opening(1))) == ErrorKind::NoneLeft);
+  CHECK(dropReason(B.steer(at(1ms), openingPacket(1))) == ErrorKind::NoneLeft);
 }
 
 TEST_CASE("a routing table never gives way to an older one") {
-  PacketBalancer B = started();
-  B.setRouting(at(1ms), table(5, {{IndexAt, Archive}}));
-  B.setRouting(at(2ms), table(4, {{IndexAt, Index}}));
+  PacketBalancer B = makeBalancer();
+  B.setRouting(at(1ms), routingTable(5, {{IndexAddress, ArchiveService}}));
+  B.setRouting(at(2ms), routingTable(4, {{IndexAddress, IndexService}}));
   CHECK(B.status(at(2ms)).RoutingVersion_ == 5);
-  CHECK(upstreamOf(B.steer(at(2ms), opening(1))) >= 11);
+  CHECK(upstreamOf(B.steer(at(2ms), openingPacket(1))) >= 11);
   // Flows that the older table placed stay where they are.
-  CHECK(upstreamOf(B.steer(at(2ms), following(1, 3, 1))) == 3);
+  CHECK(upstreamOf(B.steer(at(2ms), flowPacket(1, 3, 1))) == 3);
 }
 
 TEST_CASE("after a pause the process trusts nothing that it had learnt") {
-  PacketBalancer B = started();
+  PacketBalancer B = makeBalancer();
   B.tick(at(250ms));
   B.tick(at(500ms));
   B.tick(at(5000ms)); // 4.5 s asleep
   CHECK(B.counters().LateWakes_ == 1);
-  const Endpoint Nowhere = Endpoint::v4(0xc6120009, 1);
-  CHECK(dropReason(B.steer(at(5001ms), opening(1, 0, Nowhere))) ==
+  const Endpoint UnknownAddress = Endpoint::v4(0xc6120009, 1);
+  CHECK(dropReason(B.steer(at(5001ms), openingPacket(1, 0, UnknownAddress))) ==
         ErrorKind::TableNotFresh);
 }
 
 TEST_CASE("shares of an address are kept, and copies agree on the service") {
   auto Table = std::make_shared<RoutingTable>();
   Table->Version_ = 2;
-  Table->Addresses_[IndexAt] = {{Index, 90}, {Archive, 10}};
-  PacketBalancer B = started();
+  Table->Addresses_[IndexAddress] = {{IndexService, 90}, {ArchiveService, 10}};
+  PacketBalancer B = makeBalancer();
   B.setRouting(at(1ms), Table);
-  int OfArchive = 0;
+  int ArchiveFlows = 0;
   for (std::uint16_t Port = 1; Port <= 4000; ++Port) {
-    bool First = upstreamOf(B.steer(at(2ms), opening(Port))) >= 11;
-    bool Copy = upstreamOf(B.steer(at(202ms), opening(Port, 1))) >= 11;
+    bool First = upstreamOf(B.steer(at(2ms), openingPacket(Port))) >= 11;
+    bool Copy = upstreamOf(B.steer(at(202ms), openingPacket(Port, 1))) >= 11;
     CHECK(First == Copy);
-    OfArchive += First ? 1 : 0;
+    ArchiveFlows += First ? 1 : 0;
   }
-  CHECK(OfArchive > 300);
-  CHECK(OfArchive < 500);
+  CHECK(ArchiveFlows > 300);
+  CHECK(ArchiveFlows < 500);
 }
 
 TEST_CASE("counts of flows and requests return to zero whatever happens") {
   rc::check([] {
-    PacketBalancer B = started();
-    std::map<std::uint16_t, Cookie> Marks;
+    PacketBalancer B = makeBalancer();
+    std::map<std::uint16_t, Cookie> Cookies;
     auto Now = 0ms;
     for (int Step = 0; Step < 150; ++Step) {
       Now += std::chrono::milliseconds(*rc::gen::inRange(0, 80));
@@ -308,26 +317,28 @@
       case 0:
       case 1: {
         auto Copy = *rc::gen::inRange<std::uint32_t>(0, 3);
-        Verdict V = B.steer(at(Now), opening(Port, Copy));
-        if (const Forward *F = forwarded(V))
-          Marks[Port] = F->Cookie_;
+        Verdict V = B.steer(at(Now), openingPacket(Port, Copy));
+        if (const Forward *F = asForward(V))
+          Cookies[Port] = F->Cookie_;
         break;
       }
       case 2:
       case 3: {
-        Packet P =
-            following(Port, Marks[Port], *rc::gen::inRange<std::uint32_t>(0, 5),
-                      *rc::gen::inRange<std::uint16_t>(0, 2));
+        Packet P = flowPacket(Port, Cookies[Port],
+                              *rc::gen::inRange<std::uint32_t>(0, 5),
+                              *rc::gen::inRange<std::uint16_t>(0, 2));
         P.Finishes_ = *rc::gen::inRange(0, 4) == 0;
         P.Resets_ = *rc::gen::inRange(0, 6) == 0;
         B.steer(at(Now), P);
         break;
       }
       case 4:
-        B.applyUpstreams(at(Now), {up(Id, Index, Id % 2 == 0)});
+        B.applyUpstreams(at(Now),
+                         {publishedUpstream(Id, IndexService, Id % 2 == 0)});
         break;
       case 5:
-        B.applyUpstreams(at(Now), {gone(Id)}, *rc::gen::arbitrary<bool>());
+        B.applyUpstreams(at(Now), {removedUpstream(Id)},
+                         *rc::gen::arbitrary<bool>());
         break;
       case 6:
         B.tick(at(Now));
@@ -346,19 +357,19 @@
 }
 
 TEST_CASE("a change is told by name, and a list of thousands is not") {
-  std::vector<UpstreamEvent> Told;
+  std::vector<UpstreamEvent> Events;
   PacketBalancer B =
       PacketBalancerBuilder()
           .onUpstreamEvent([&](const UpstreamEvent &UpstreamEvent) {
-            Told.push_back(UpstreamEvent);
+            Events.push_back(UpstreamEvent);
           })
           .build();
   std::vector<UpstreamChange> List;
   for (std::uint64_t Id = 1; Id <= 1000; ++Id)
-    List.push_back(up(Id, Index));
+    List.push_back(publishedUpstream(Id, IndexService));
   B.applyUpstreams(at({}), List);
-  CHECK(Told.empty());
-  B.applyUpstreams(at({}), {gone(5)});
-  REQUIRE(Told.size() == 1);
-  CHECK(Told[0].Kind_ == UpstreamEvent::Kind::Gone);
+  CHECK(Events.empty());
+  B.applyUpstreams(at({}), {removedUpstream(5)});
+  REQUIRE(Events.size() == 1);
+  CHECK(Events[0].Kind_ == UpstreamEvent::Kind::Gone);
 }
--- a/test/packets.h
+++ b/test/packets.h
@@ -9,17 +9,18 @@
 
 namespace thymewall::test {
 
-constexpr ServiceId Index{1};
-constexpr ServiceId Archive{2};
-inline const Endpoint IndexAt = Endpoint::v4(0xc6120001, 8443);
-inline const Endpoint ArchiveAt = Endpoint::v4(0xc6120002, 8443);
+constexpr ServiceId IndexService{1};
+constexpr ServiceId ArchiveService{2};
+inline const Endpoint IndexAddress = Endpoint::v4(0xc6120001, 8443);
+inline const Endpoint ArchiveAddress = Endpoint::v4(0xc6120002, 8443);
 
 inline MonoTime at(std::chrono::milliseconds Time) {
   return MonoTime(std::chrono::seconds(100) + Time);
 }
 
 inline RoutingTablePtr
-table(Version V, const std::vector<std::pair<Endpoint, ServiceId>> &Routes) {
+routingTable(Version V,
+             const std::vector<std::pair<Endpoint, ServiceId>> &Routes) {
   auto Table = std::make_shared<RoutingTable>();
   Table->Version_ = V;
   for (const auto &[Where, Service] : Routes)
@@ -27,9 +28,10 @@
   return Table;
 }
 
-inline UpstreamChange up(std::uint64_t Id, ServiceId Service,
-                         bool Draining = false, std::uint32_t Address = 0,
-                         const std::string &DataHall = "") {
+inline UpstreamChange publishedUpstream(std::uint64_t Id, ServiceId Service,
+                                        bool Draining = false,
+                                        std::uint32_t Address = 0,
+                                        const std::string &DataHall = "") {
   UpstreamEntry E;
   E.Incarnation_ = Incarnation{Id};
   E.Service_ = Service;
@@ -40,12 +42,12 @@
   return {E.Incarnation_, 1, E};
 }
 
-inline UpstreamChange gone(std::uint64_t Id) {
+inline UpstreamChange removedUpstream(std::uint64_t Id) {
   return {Incarnation{Id}, 2, std::nullopt};
 }
 
-inline Packet opening(std::uint16_t Port, std::uint32_t Copy = 0,
-                      const Endpoint &To = IndexAt) {
+inline Packet openingPacket(std::uint16_t Port, std::uint32_t Copy = 0,
+                            const Endpoint &To = IndexAddress) {
   Packet P;
   P.Caller_ = Endpoint::v4(0x64400007, Port);
   P.Service_ = To;
@@ -54,24 +56,29 @@
   return P;
 }
 
-inline Packet following(std::uint16_t Port, Cookie Mark,
-                        std::uint32_t Acknowledged, std::uint16_t Data = 0,
-                        const Endpoint &To = IndexAt) {
-  Packet P = opening(Port, Acknowledged, To);
+inline Packet flowPacket(std::uint16_t Port, Cookie FlowCookie,
+                         std::uint32_t Acknowledged, std::uint16_t Data = 0,
+                         const Endpoint &To = IndexAddress) {
+  Packet P = openingPacket(Port, Acknowledged, To);
   P.Opens_ = false;
   P.Acknowledges_ = true;
-  P.Cookie_ = Mark;
+  P.Cookie_ = FlowCookie;
   P.DataSize_ = Data;
   return P;
 }
 
 /// A balancer with two services: upstreams 1 to 4 of the index, 11 and 12 of
 /// the archive.
-inline PacketBalancer started() {
+inline PacketBalancer makeBalancer() {
   PacketBalancer B = PacketBalancerBuilder().build();
-  B.setRouting(at({}), table(1, {{IndexAt, Index}, {ArchiveAt, Archive}}));
-  B.applyUpstreams(at({}), {up(1, Index), up(2, Index), up(3, Index),
-                            up(4, Index), up(11, Archive), up(12, Archive)});
+  B.setRouting(at({}), routingTable(1, {{IndexAddress, IndexService},
+                                        {ArchiveAddress, ArchiveService}}));
+  B.applyUpstreams(at({}), {publishedUpstream(1, IndexService),
+                            publishedUpstream(2, IndexService),
+                            publishedUpstream(3, IndexService),
+                            publishedUpstream(4, IndexService),
+                            publishedUpstream(11, ArchiveService),
+                            publishedUpstream(12, ArchiveService)});
   B.confirmUpTo(at({}));
   return B;
 }
@@ -81,12 +88,12 @@
   return D ? D->Error_ : ErrorKind::None;
 }
 
-inline const Forward *forwarded(const Verdict &V) {
+inline const Forward *asForward(const Verdict &V) {
   return std::get_if<Forward>(&V);
 }
 
 inline std::uint64_t upstreamOf(const Verdict &V) {
-  const Forward *F = forwarded(V);
+  const Forward *F = asForward(V);
   return F ? raw(F->Upstream_) : 0;
 }
 
--- a/test/upstream-address-test.cc
+++ b/test/upstream-address-test.cc
@@ -8,7 +8,7 @@
 namespace {
 
 /// A table that names the services 1 and 2.
-RoutingTablePtr bothServices(Version V) {
+RoutingTablePtr twoServiceTable(Version V) {
   auto Table = std::make_shared<RoutingTable>();
   Table->Version_ = V;
   Table->Addresses_[ServiceAt] = {{ServiceId{1}, 1}};
@@ -20,26 +20,26 @@
 /// one at the address of one of them.
 struct SharedAddress {
   SharedAddress() {
-    B_.B_.setRouting(at(0ms), bothServices(2));
-    First_ = B_.request(1);
-    for (std::uint16_t Other = 2; B_.request(Other) == First_;)
+    B_.B_.setRouting(at(0ms), twoServiceTable(2));
+    FirstId_ = B_.request(1);
+    for (std::uint16_t Other = 2; B_.request(Other) == FirstId_;)
       ++Other;
-    Next_ = up(7);
-    Next_.At_ = 5;
-    Next_.Entry_->At_ = up(First_).Entry_->At_;
-    Next_.Entry_->Service_ = ServiceId{2};
+    SuccessorChange_ = up(7);
+    SuccessorChange_.At_ = 5;
+    SuccessorChange_.Entry_->At_ = up(FirstId_).Entry_->At_;
+    SuccessorChange_.Entry_->Service_ = ServiceId{2};
   }
 
-  UpstreamChange firstGone() const {
-    return {Incarnation{First_}, 6, std::nullopt};
+  UpstreamChange firstRemoved() const {
+    return {Incarnation{FirstId_}, 6, std::nullopt};
   }
-  bool neverChosen(std::uint64_t Upstream, std::chrono::milliseconds Time) {
+  bool getsNoFlows(std::uint64_t Upstream, std::chrono::milliseconds Time) {
     return !B_.takesFlows(Upstream, Time);
   }
 
   Balancer3 B_;
-  std::uint64_t First_ = 0;
-  UpstreamChange Next_;
+  std::uint64_t FirstId_ = 0;
+  UpstreamChange SuccessorChange_;
 };
 
 } // namespace
@@ -48,32 +48,32 @@
   SharedAddress S;
   Balancer3 &B = S.B_;
   SUBCASE("its flows are reset, and it is never checked nor chosen again") {
-    B.B_.applyUpstreams(at(100ms), {S.Next_, S.firstGone()});
+    B.B_.applyUpstreams(at(100ms), {S.SuccessorChange_, S.firstRemoved()});
     REQUIRE_FALSE(B.Resets_.empty());
     CHECK(B.Resets_.front().Error_ == ErrorKind::UpstreamDead);
     for (auto Now = 250ms; Now < 10s; Now += 250ms)
       B.B_.tick(at(Now));
     CHECK(B.Checks_.empty());
     // What answers at the address is the other one.
-    B.checked(10s, S.First_, CheckResult::Connected, 9s);
-    CHECK(S.neverChosen(S.First_, 10s));
+    B.checked(10s, S.FirstId_, CheckResult::Connected, 9s);
+    CHECK(S.getsNoFlows(S.FirstId_, 10s));
   }
   SUBCASE("also after a sleep, which ends other beliefs") {
-    B.B_.applyUpstreams(at(100ms), {S.Next_, S.firstGone()});
+    B.B_.applyUpstreams(at(100ms), {S.SuccessorChange_, S.firstRemoved()});
     B.B_.tick(at(250ms));
     B.B_.tick(at(9s));
-    CHECK(S.neverChosen(S.First_, 9s));
+    CHECK(S.getsNoFlows(S.FirstId_, 9s));
   }
   SUBCASE("whichever of them is heard of first") {
     Balancer3 C;
-    C.B_.setRouting(at(0ms), bothServices(2));
-    C.B_.applyUpstreams(at(0ms), {S.Next_});
-    C.B_.applyUpstreams(at(10ms), {up(S.First_)});
-    C.B_.applyUpstreams(at(20ms), {S.firstGone()});
-    CHECK_FALSE(C.takesFlows(S.First_, 30ms));
+    C.B_.setRouting(at(0ms), twoServiceTable(2));
+    C.B_.applyUpstreams(at(0ms), {S.SuccessorChange_});
+    C.B_.applyUpstreams(at(10ms), {up(S.FirstId_)});
+    C.B_.applyUpstreams(at(20ms), {S.firstRemoved()});
+    CHECK_FALSE(C.takesFlows(S.FirstId_, 30ms));
   }
   SUBCASE("its own changes are no other upstream") {
-    UpstreamChange Same = up(S.First_);
+    UpstreamChange Same = up(S.FirstId_);
     Same.At_ = 6;
     B.B_.applyUpstreams(at(100ms), {Same});
     CHECK(B.Resets_.empty());
@@ -85,23 +85,23 @@
   // its address. When the cut heals, what the first wrote before arrives.
   SharedAddress S;
   Balancer3 &B = S.B_;
-  S.Next_.Entry_->Service_ = ServiceId{1};
-  B.B_.applyUpstreams(at(100ms), {S.firstGone()});
-  B.B_.applyUpstreams(at(200ms), {S.Next_});
+  S.SuccessorChange_.Entry_->Service_ = ServiceId{1};
+  B.B_.applyUpstreams(at(100ms), {S.firstRemoved()});
+  B.B_.applyUpstreams(at(200ms), {S.SuccessorChange_});
   B.follow(300ms, 500, 7, 1000, 1, 100); // a flow at the other one
   std::size_t Before = B.Resets_.size();
-  UpstreamChange Late = up(S.First_);
+  UpstreamChange Late = up(S.FirstId_);
   Late.At_ = 724;
   SUBCASE("at a balancer that knows both") {
     B.B_.applyUpstreams(at(400ms), {Late});
     CHECK(B.Resets_.size() == Before);
     CHECK(B.takesFlows(7, 500ms));
-    CHECK_FALSE(B.takesFlows(S.First_, 500ms));
+    CHECK_FALSE(B.takesFlows(S.FirstId_, 500ms));
   }
   SUBCASE("at one that has just started") {
     Balancer3 C;
-    C.B_.setRouting(at(0ms), bothServices(2));
-    C.B_.applyUpstreams(at(0ms), {S.Next_});
+    C.B_.setRouting(at(0ms), twoServiceTable(2));
+    C.B_.applyUpstreams(at(0ms), {S.SuccessorChange_});
     C.follow(100ms, 500, 7, 1000, 1, 100);
     Late.Incarnation_ = Incarnation{8};
     Late.Entry_->Incarnation_ = Incarnation{8};
@@ -114,38 +114,38 @@
 TEST_CASE("where births are told the later start has the address") {
   SharedAddress S;
   Balancer3 &B = S.B_;
-  UpstreamChange First = up(S.First_);
+  UpstreamChange First = up(S.FirstId_);
   First.At_ = 4;
   First.Entry_->BornMs_ = 1000;
-  S.Next_.Entry_->BornMs_ = 2000;
+  S.SuccessorChange_.Entry_->BornMs_ = 2000;
   B.B_.applyUpstreams(at(50ms), {First});
   B.request(400);
-  while (B.request(400) != S.First_)
+  while (B.request(400) != S.FirstId_)
     B.finish(11ms, 400, 0, 0);
   SUBCASE("also while the earlier one is still published") {
-    B.B_.applyUpstreams(at(100ms), {S.Next_});
+    B.B_.applyUpstreams(at(100ms), {S.SuccessorChange_});
     CHECK_FALSE(B.Resets_.empty());
-    CHECK(S.neverChosen(S.First_, 200ms));
+    CHECK(S.getsNoFlows(S.FirstId_, 200ms));
   }
   SUBCASE("also when the earlier one is published again, later") {
-    B.B_.applyUpstreams(at(100ms), {S.Next_});
+    B.B_.applyUpstreams(at(100ms), {S.SuccessorChange_});
     B.follow(150ms, 500, 7, 1000, 1, 100);
     std::size_t Before = B.Resets_.size();
     First.At_ = 724;
     B.B_.applyUpstreams(at(200ms), {First});
     CHECK(B.Resets_.size() == Before);
-    CHECK(S.neverChosen(S.First_, 300ms));
+    CHECK(S.getsNoFlows(S.FirstId_, 300ms));
   }
 }
 
 TEST_CASE("an entry of a service that nobody has named takes no address") {
   SharedAddress S;
   Balancer3 &B = S.B_;
-  S.Next_.Entry_->Service_ = ServiceId{99};
-  B.B_.applyUpstreams(at(100ms), {S.Next_, S.firstGone()});
+  S.SuccessorChange_.Entry_->Service_ = ServiceId{99};
+  B.B_.applyUpstreams(at(100ms), {S.SuccessorChange_, S.firstRemoved()});
   CHECK(B.Resets_.empty());
   SUBCASE("until a table names it") {
-    auto Table = std::make_shared<RoutingTable>(*bothServices(3));
+    auto Table = std::make_shared<RoutingTable>(*twoServiceTable(3));
     Table->ServiceNames_[99] = "new";
     B.B_.setRouting(at(200ms), Table);
     CHECK_FALSE(B.Resets_.empty());
