--- a/test/evacuated-openings-test.cc
+++ b/test/evacuated-openings-test.cc
@@ -11,7 +11,7 @@
 
 namespace {
 
-constexpr std::uint16_t LastPort = 300;
+constexpr std::uint16_t EndPort = 300;
 
 UpstreamChange publishedIn(const std::string &DataHall, std::uint64_t Id) {
   return publishedUpstream(Id, IndexService, false, 0, DataHall);
@@ -32,7 +32,7 @@
 /// The upstreams that get openings, copies of them and retries.
 std::set<std::uint64_t> upstreamsWithNewFlows(PacketBalancer &B, MonoTime Now) {
   std::set<std::uint64_t> Result;
-  for (std::uint16_t Port = 1; Port < LastPort; ++Port) {
+  for (std::uint16_t Port = 1; Port < EndPort; ++Port) {
     Result.insert(upstreamOf(B.steer(Now, openingPacket(Port))));
     if (Port % 2 == 0)
       Result.insert(
@@ -84,7 +84,7 @@
 TEST_CASE("open flows stay in the hall") {
   PacketBalancer B = balancerWithThreeHalls();
   std::map<std::uint16_t, Verdict> Opened;
-  for (std::uint16_t Port = 1; Port < LastPort; ++Port)
+  for (std::uint16_t Port = 1; Port < EndPort; ++Port)
     Opened.emplace(Port, B.steer(at(1ms), openingPacket(Port)));
   evacuate(B, "b");
   for (const auto &[Port, V] : Opened)
@@ -120,9 +120,9 @@
   PacketBalancer B = balancerWithThreeHalls();
   evacuate(B, "a");
   evacuate(B, "b");
-  for (std::uint16_t Port = 1; Port < LastPort; ++Port)
+  for (std::uint16_t Port = 1; Port < EndPort; ++Port)
     B.steer(at(10ms), openingPacket(Port));
-  for (std::uint16_t Port = 1; Port < LastPort; ++Port)
+  for (std::uint16_t Port = 1; Port < EndPort; ++Port)
     B.retryOpening(at(60ms), openingPacket(Port)); // nobody has answered
   CHECK(upstreamsWithNewFlows(B, at(100ms)) == std::set<std::uint64_t>{5, 6});
 }
--- a/test/unanswered-openings-test.cc
+++ b/test/unanswered-openings-test.cc
@@ -16,8 +16,8 @@
   Openings.add(at(Time), &PacketId, 1);
 }
 
-PacketIds takeExpired(UnansweredOpenings &Openings,
-                      std::chrono::milliseconds Time) {
+PacketIds expiredPackets(UnansweredOpenings &Openings,
+                         std::chrono::milliseconds Time) {
   PacketIds Result;
   Openings.takeExpired(at(Time),
                        [&](const std::uint8_t *Data, std::size_t Size) {
@@ -35,11 +35,11 @@
   add(Openings, 0ms, 1);
   add(Openings, 10ms, 2);
   CHECK(Openings.nextDeadline() == at(40ms));
-  CHECK(takeExpired(Openings, 39ms) == PacketIds{});
-  CHECK(takeExpired(Openings, 40ms) == PacketIds{1});
+  CHECK(expiredPackets(Openings, 39ms) == PacketIds{});
+  CHECK(expiredPackets(Openings, 40ms) == PacketIds{1});
   CHECK(Openings.nextDeadline() == at(50ms));
-  CHECK(takeExpired(Openings, 55ms) == PacketIds{2});
-  CHECK(takeExpired(Openings, 60ms) == PacketIds{});
+  CHECK(expiredPackets(Openings, 55ms) == PacketIds{2});
+  CHECK(expiredPackets(Openings, 60ms) == PacketIds{});
 }
 
 TEST_CASE("the time for an answer follows what is set") {
@@ -47,28 +47,28 @@
   add(Openings, 0ms, 1);
   Openings.setTimeout(120ms);
   add(Openings, 10ms, 2);
-  CHECK(takeExpired(Openings, 45ms) == PacketIds{1});
-  CHECK(takeExpired(Openings, 120ms) == PacketIds{});
-  CHECK(takeExpired(Openings, 130ms) == PacketIds{2});
+  CHECK(expiredPackets(Openings, 45ms) == PacketIds{1});
+  CHECK(expiredPackets(Openings, 120ms) == PacketIds{});
+  CHECK(expiredPackets(Openings, 130ms) == PacketIds{2});
 }
 
 TEST_CASE("a process that did not run waits for the answers in its socket") {
   UnansweredOpenings Openings;
   add(Openings, 0ms, 1);
   add(Openings, 30ms, 2);
-  CHECK(takeExpired(Openings, 90ms) == PacketIds{}); // 50 ms late
+  CHECK(expiredPackets(Openings, 90ms) == PacketIds{}); // 50 ms late
   CHECK(Openings.nextDeadline() == at(130ms));
-  CHECK(takeExpired(Openings, 130ms) == PacketIds{1, 2});
+  CHECK(expiredPackets(Openings, 130ms) == PacketIds{1, 2});
 }
 
 TEST_CASE("once the caller sends again itself, nothing is due any more") {
   UnansweredOpenings Openings;
   add(Openings, 0ms, 1);
   add(Openings, 30ms, 2);
-  CHECK(takeExpired(Openings, 170ms) == PacketIds{});
-  CHECK(takeExpired(Openings, 210ms) == PacketIds{2});
+  CHECK(expiredPackets(Openings, 170ms) == PacketIds{});
+  CHECK(expiredPackets(Openings, 210ms) == PacketIds{2});
   add(Openings, 300ms, 3);
-  CHECK(takeExpired(Openings, 9000ms) == PacketIds{});
+  CHECK(expiredPackets(Openings, 9000ms) == PacketIds{});
   CHECK(Openings.nextDeadline() == MonoTime::max());
 }
 
@@ -76,5 +76,6 @@
   UnansweredOpenings Openings;
   for (std::size_t I = 0; I < UnansweredOpenings::MaxPackets + 10; ++I)
     add(Openings, 0ms, 1);
-  CHECK(takeExpired(Openings, 40ms).size() == UnansweredOpenings::MaxPackets);
+  CHECK(expiredPackets(Openings, 40ms).size() ==
+        UnansweredOpenings::MaxPackets);
 }
--- a/test/upstream-restart-test.cc
+++ b/test/upstream-restart-test.cc
@@ -21,15 +21,15 @@
     B_.B_.applyUpstreams(at(0ms), {startedUpstream(1, 100, 2),
                                    startedUpstream(2, 100, 3),
                                    startedUpstream(3, 100, 4)});
-    Upstream_ = B_.request(1);
+    RestartedId_ = B_.request(1);
   }
 
   void restart(std::chrono::milliseconds Time) {
-    B_.B_.applyUpstreams(at(Time), {startedUpstream(Upstream_, 200, 10)});
+    B_.B_.applyUpstreams(at(Time), {startedUpstream(RestartedId_, 200, 10)});
   }
 
   Balancer3 B_;
-  std::uint64_t Upstream_ = 0;
+  std::uint64_t RestartedId_ = 0;
 };
 
 } // namespace
@@ -38,29 +38,29 @@
   RestartedUpstream R;
   Balancer3 &B = R.B_;
   SUBCASE("death") {
-    B.checked(300ms, R.Upstream_, CheckResult::Dead, 200ms);
-    REQUIRE_FALSE(B.takesFlows(R.Upstream_, 350ms));
+    B.checked(300ms, R.RestartedId_, CheckResult::Dead, 200ms);
+    REQUIRE_FALSE(B.takesFlows(R.RestartedId_, 350ms));
     R.restart(400ms);
-    CHECK(B.takesFlows(R.Upstream_, 450ms));
+    CHECK(B.takesFlows(R.RestartedId_, 450ms));
   }
   SUBCASE("an ejection for unanswered openings") {
     B.open(10ms, 50);
     for (std::uint16_t Port = 100; Port < 140; ++Port)
-      if (B.open(20ms, Port) == R.Upstream_)
+      if (B.open(20ms, Port) == R.RestartedId_)
         B.open(300ms, Port, 1);
-    REQUIRE_FALSE(B.takesFlows(R.Upstream_, 350ms));
+    REQUIRE_FALSE(B.takesFlows(R.RestartedId_, 350ms));
     R.restart(400ms);
-    CHECK(B.takesFlows(R.Upstream_, 450ms));
+    CHECK(B.takesFlows(R.RestartedId_, 450ms));
   }
   SUBCASE("the end at an address that another has taken") {
     UpstreamChange Next = startedUpstream(7, 150, 8);
-    Next.Entry_->At_ = up(R.Upstream_).Entry_->At_;
+    Next.Entry_->At_ = up(R.RestartedId_).Entry_->At_;
     B.B_.applyUpstreams(at(100ms), {Next});
-    REQUIRE_FALSE(B.takesFlows(R.Upstream_, 150ms));
-    UpstreamChange Again = startedUpstream(R.Upstream_, 200, 10);
+    REQUIRE_FALSE(B.takesFlows(R.RestartedId_, 150ms));
+    UpstreamChange Again = startedUpstream(R.RestartedId_, 200, 10);
     Again.Entry_->At_ = Endpoint::v4(0x0a00ff01, 9000);
     B.B_.applyUpstreams(at(400ms), {Again});
-    CHECK(B.takesFlows(R.Upstream_, 450ms));
+    CHECK(B.takesFlows(R.RestartedId_, 450ms));
   }
 }
 
@@ -69,25 +69,25 @@
   Balancer3 &B = R.B_;
   R.restart(400ms);
   SUBCASE("a check") {
-    B.checked(500ms, R.Upstream_, CheckResult::Dead, 350ms);
-    CHECK(B.takesFlows(R.Upstream_, 550ms));
+    B.checked(500ms, R.RestartedId_, CheckResult::Dead, 350ms);
+    CHECK(B.takesFlows(R.RestartedId_, 550ms));
     CHECK(B.Warnings_.empty());
   }
   SUBCASE("a peer's warning of the earlier start") {
-    B.B_.onPeerWarning(at(500ms), {Incarnation{R.Upstream_},
+    B.B_.onPeerWarning(at(500ms), {Incarnation{R.RestartedId_},
                                    UpstreamWarning::Kind::Dead, FlowId{}, 100});
     B.B_.tick(at(600ms));
     CHECK(B.Checks_.empty());
-    B.B_.onPeerWarning(at(650ms), {Incarnation{R.Upstream_},
+    B.B_.onPeerWarning(at(650ms), {Incarnation{R.RestartedId_},
                                    UpstreamWarning::Kind::Dead, FlowId{}, 200});
     B.B_.tick(at(850ms));
-    CHECK(B.Checks_ == std::vector<std::uint64_t>{R.Upstream_});
+    CHECK(B.Checks_ == std::vector<std::uint64_t>{R.RestartedId_});
   }
   SUBCASE("a request that waits: no stall, no check") {
     for (auto Now = 500ms; Now < 3s; Now += 250ms)
       B.B_.tick(at(Now));
     CHECK(B.Warnings_.empty());
-    CHECK(B.takesFlows(R.Upstream_, 3s));
+    CHECK(B.takesFlows(R.RestartedId_, 3s));
   }
 }
 
@@ -98,13 +98,13 @@
   CHECK(B.Resets_.empty());
   Packet P = packet(1);
   P.Acknowledges_ = true;
-  P.Cookie_ = static_cast<Cookie>(R.Upstream_);
+  P.Cookie_ = static_cast<Cookie>(R.RestartedId_);
   P.Acknowledged_ = 1000;
   P.DataSize_ = 100;
   Verdict V = B.B_.steer(at(500ms), P);
   const auto *F = std::get_if<Forward>(&V);
   REQUIRE(F);
-  CHECK(raw(F->Upstream_) == R.Upstream_);
+  CHECK(raw(F->Upstream_) == R.RestartedId_);
 }
 
 TEST_CASE("requests at the earlier start weigh nothing at the new one") {
@@ -115,7 +115,7 @@
   R.restart(400ms);
   PacketStatus S = B.B_.status(at(400ms));
   for (const UpstreamStatus &Up : S.Upstreams_)
-    if (raw(Up.Incarnation_) == R.Upstream_) {
+    if (raw(Up.Incarnation_) == R.RestartedId_) {
       CHECK(Up.Row_.OwnFlows_ == 0);
       CHECK(Up.Row_.InFlight_ == 0);
     }
