--- a/test/ended-answers-test.cc
+++ b/test/ended-answers-test.cc
@@ -1,4 +1,4 @@
-// Which peers a balancer that has just started asks for ended upstreams.
+// Checks which peers a starting balancer asks for ended upstreams.
 #include "thymewall/news.h"
 
 #include <doctest/doctest.h>
@@ -11,7 +11,7 @@
 
 MonoTime at(std::chrono::milliseconds Time) { return MonoTime(100s + Time); }
 
-/// An exchange that has just started, with peers that a test speaks for.
+/// A news exchange that has just started, with five simulated peers.
 class StartingBalancer {
 public:
   StartingBalancer() : News_({member(0), {}}, hooks()) {
@@ -19,7 +19,7 @@
       News_.opened(at(0ms), LinkId{Peer}, false);
   }
 
-  /// A heartbeat of a peer that knows of one change more each time.
+  /// Receives a heartbeat of a peer that knows one more change each time.
   void heartbeat(std::chrono::milliseconds Time, std::uint64_t Peer) {
     PeerHeartbeat M;
     M.Sender_ = member(Peer);
@@ -27,7 +27,7 @@
     News_.received(at(Time), LinkId{Peer}, M);
   }
 
-  /// A peer's answer to a question.
+  /// Receives a peer's answer to a request.
   void answer(std::chrono::milliseconds Time, std::uint64_t Peer) {
     News M;
     M.Upstreams_.Through_ = Published_;
@@ -35,9 +35,9 @@
     News_.received(at(Time), LinkId{Peer}, M);
   }
 
-  /// Peers that were asked for ended upstreams.
+  /// Peers that received a request for ended upstreams.
   std::set<std::uint64_t> AskedForEnded_;
-  std::size_t Requests_ = 0; ///< Questions in all.
+  std::size_t Requests_ = 0; ///< Number of requests of any kind.
 
 private:
   static Member member(std::uint64_t Which) {
@@ -70,8 +70,8 @@
 
 } // namespace
 
-TEST_CASE("three peers are asked for ended upstreams, however much other news "
-          "the first one sends") {
+TEST_CASE("three peers are asked for ended upstreams even if the first one "
+          "sends a lot of other news") {
   StartingBalancer N;
   for (auto Time = 0ms; Time < 1000ms; Time += 100ms) {
     N.heartbeat(Time, 1);
@@ -87,9 +87,9 @@
   CHECK(N.AskedForEnded_ == std::set<std::uint64_t>{1, 2, 3});
 }
 
-TEST_CASE("a peer that never answered does not count") {
+TEST_CASE("a peer that does not answer is not one of the three peers") {
   StartingBalancer N;
-  N.heartbeat(0ms, 1); // asked, and silent
+  N.heartbeat(0ms, 1); // does not answer
   for (std::uint64_t Peer = 2; Peer <= 5; ++Peer) {
     auto Time = 300ms + Peer * 100ms;
     N.heartbeat(Time, Peer);
--- a/test/evacuated-openings-test.cc
+++ b/test/evacuated-openings-test.cc
@@ -1,5 +1,5 @@
 /// \file
-/// Where new flows go while data halls are evacuated.
+/// Checks which upstreams get new flows while data halls are evacuated.
 #include "packets.h"
 
 #include <doctest/doctest.h>
@@ -17,8 +17,8 @@
   return publishedUpstream(Id, IndexService, false, 0, DataHall);
 }
 
-/// Two upstreams of the index in each of three halls: 1 and 2 in hall a, 3 and
-/// 4 in b, 5 and 6 in c.
+/// Returns a balancer with the upstreams 1 and 2 in hall a, 3 and 4 in hall b,
+/// 5 and 6 in hall c.
 PacketBalancer balancerWithThreeHalls() {
   PacketBalancer B = PacketBalancerBuilder().build();
   B.setRouting(at(0ms), routingTable(1, {{IndexAddress, IndexService}}));
@@ -29,7 +29,7 @@
   return B;
 }
 
-/// The upstreams that get openings, copies of them and retries.
+/// Returns the upstreams that get first, retransmitted or retried openings.
 std::set<std::uint64_t> upstreamsWithNewFlows(PacketBalancer &B, MonoTime Now) {
   std::set<std::uint64_t> Result;
   for (std::uint16_t Port = 1; Port < EndPort; ++Port) {
@@ -60,7 +60,7 @@
 
 } // namespace
 
-TEST_CASE("no opening, copy or retry goes to an evacuated hall") {
+TEST_CASE("an evacuated hall gets no first, retransmitted or retried opening") {
   PacketBalancer B = balancerWithThreeHalls();
   evacuate(B, "b");
   CHECK(upstreamsWithNewFlows(B, at(10ms)) ==
@@ -72,7 +72,7 @@
         std::set<std::uint64_t>{3, 4, 5, 6});
 }
 
-TEST_CASE("nor to an upstream that is published there later") {
+TEST_CASE("an upstream published later in an evacuated hall gets no openings") {
   PacketBalancer B = balancerWithThreeHalls();
   evacuate(B, "b");
   evacuate(B, "nobody-knows");
@@ -81,7 +81,7 @@
         std::set<std::uint64_t>{1, 2, 5, 6, 8});
 }
 
-TEST_CASE("open flows stay in the hall") {
+TEST_CASE("open flows stay in an evacuated hall") {
   PacketBalancer B = balancerWithThreeHalls();
   std::map<std::uint16_t, Verdict> Opened;
   for (std::uint16_t Port = 1; Port < EndPort; ++Port)
@@ -92,8 +92,8 @@
                                                   1, 100))) == upstreamOf(V));
 }
 
-TEST_CASE("when all others are dead, callers are told at once that nobody "
-          "serves them") {
+TEST_CASE("openings are reset if all upstreams outside the evacuated hall are "
+          "dead") {
   PacketBalancer B = balancerWithThreeHalls();
   evacuate(B, "b");
   for (std::uint64_t Id : {1U, 2U, 5U, 6U})
@@ -106,23 +106,23 @@
   CHECK(upstreamsWithNewFlows(B, at(30ms)) == std::set<std::uint64_t>{3, 4});
 }
 
-TEST_CASE("so too when every hall is evacuated, but not on old knowledge") {
+TEST_CASE("openings are reset if every hall is evacuated, unless the state is "
+          "stale") {
   PacketBalancer B = balancerWithThreeHalls();
   for (const char *DataHall : {"a", "b", "c"})
     evacuate(B, DataHall);
   CHECK(asReset(B.steer(at(10ms), openingPacket(1))));
-  // Another balancer may know that a hall was taken back.
+  // Another balancer may know of a hall that is no longer evacuated.
   CHECK(dropReason(B.steer(at(20s), openingPacket(1))) == ErrorKind::NoneLeft);
 }
 
-TEST_CASE("an upstream that is ejected is taken again before a hall that is "
-          "evacuated") {
+TEST_CASE("ejected upstreams are preferred to those of evacuated halls") {
   PacketBalancer B = balancerWithThreeHalls();
   evacuate(B, "a");
   evacuate(B, "b");
   for (std::uint16_t Port = 1; Port < EndPort; ++Port)
     B.steer(at(10ms), openingPacket(Port));
   for (std::uint16_t Port = 1; Port < EndPort; ++Port)
-    B.retryOpening(at(60ms), openingPacket(Port)); // nobody has answered
+    B.retryOpening(at(60ms), openingPacket(Port)); // unanswered
   CHECK(upstreamsWithNewFlows(B, at(100ms)) == std::set<std::uint64_t>{5, 6});
 }
--- a/test/flow-fleet-test.cc
+++ b/test/flow-fleet-test.cc
@@ -1,5 +1,5 @@
 /// \file
-/// Open flows and what a restart of balancers forgets, on virtual time.
+/// Checks that open flows survive restarts of balancers and route changes.
 #include "flow-fleet.h"
 
 #include <doctest/doctest.h>
@@ -30,15 +30,15 @@
   }
 }
 
-/// A balancer is gone for 0.2 to 1.2 s: time for its peers to close its links.
+/// Downtime of a balancer; long enough for its peers to close the links.
 Micros anyGap() {
   return std::chrono::milliseconds(*rc::gen::inRange(200, 1200));
 }
 
 } // namespace
 
-TEST_CASE("flows opened under an earlier table survive a restart of every "
-          "balancer") {
+TEST_CASE("flows opened under an earlier routing table survive a rolling "
+          "restart of all balancers") {
   FlowFleet Fleet(4);
   openSome(Fleet, 4);
   REQUIRE(Fleet.openFlows() == 12);
@@ -51,8 +51,8 @@
   CHECK(Fleet.misroutedOpenings() == 0);
 }
 
-TEST_CASE("and so when all start at once, as long as the upstream is "
-          "published") {
+TEST_CASE("flows opened under an earlier routing table survive a simultaneous "
+          "restart if their upstream is published") {
   FlowFleet Fleet(4);
   openSome(Fleet, 4);
   Fleet.setRoute(0, {Second});
@@ -66,8 +66,8 @@
   CHECK(Fleet.lostPackets() == 0);
 }
 
-TEST_CASE("flows at an upstream that is published no more survive a restart "
-          "of every balancer") {
+TEST_CASE("flows of an unpublished upstream survive a rolling restart of all "
+          "balancers") {
   FlowFleet Fleet(5);
   Incarnation Leaving = Fleet.addUpstream(0);
   Fleet.run(1s);
@@ -84,7 +84,7 @@
   CHECK(Fleet.lostPackets() == 0);
 }
 
-TEST_CASE("a cookie of another upstream reaches one that refuses it") {
+TEST_CASE("a packet with the cookie of another upstream is rejected there") {
   FlowFleet Fleet(3);
   std::vector<Incarnation> Added = {Fleet.addUpstream(0), Fleet.addUpstream(1)};
   Fleet.run(1s);
@@ -94,13 +94,13 @@
     auto FlowCookie = static_cast<Cookie>(raw(Other));
     if (FlowCookie == Fleet.cookie(0))
       continue;
-    CHECK_FALSE(Fleet.send(1, 0, FlowCookie)); // a reset, and nothing has run
+    CHECK_FALSE(Fleet.send(1, 0, FlowCookie)); // rejected, not run
     CHECK(Fleet.refusedPackets() == Before + 1);
   }
 }
 
-TEST_CASE("whatever order changes and restarts come in, open flows whose "
-          "upstream lives reach it, and no service takes another's") {
+TEST_CASE("in any order of changes and restarts, flows reach their live "
+          "upstream and no service gets flows of another one") {
   rc::check([] {
     auto Balancers = *rc::gen::inRange<std::size_t>(3, 10);
     FlowFleet Fleet(Balancers);
@@ -135,7 +135,7 @@
       case 4:
         restartInTurn(Fleet, Balancers, anyGap());
         break;
-      case 5: { // two members lose contact while another one starts
+      case 5: { // a link is cut while a balancer restarts
         std::size_t A = Any();
         std::size_t B = Any();
         std::size_t C = Any();
--- a/test/flow-fleet.h
+++ b/test/flow-fleet.h
@@ -1,7 +1,7 @@
 /// \file
-/// A fleet of packet balancers on virtual time that hear of routes and
-/// upstreams through their news, with callers' flows and upstreams that hold
-/// them. For tests of what restarts and changes do to open flows.
+/// Simulated fleet of packet balancers with news exchange, upstreams and
+/// callers' flows on virtual time. For tests of open flows across restarts and
+/// changes.
 #ifndef THYMEWALL_TEST_FLOW_FLEET_H
 #define THYMEWALL_TEST_FLOW_FLEET_H
 
@@ -14,7 +14,7 @@
 public:
   static constexpr std::size_t Addresses = 3;
   static constexpr std::size_t Services = 2;
-  /// From a balancer's start to the answers of its first calls and peers.
+  /// Time that a balancer needs after its start to learn the current state.
   static constexpr Micros StartupTime = std::chrono::milliseconds(1500);
 
   explicit FlowFleet(std::size_t Balancers);
@@ -24,33 +24,34 @@
   void kill(std::size_t Which);
   void restart(std::size_t Which);
 
-  /// An address leads to these services from now on.
+  /// Routes an address to these services.
   void setRoute(std::size_t Address, const std::vector<ServiceId> &To);
   static ServiceId service(std::size_t Which);
   Incarnation addUpstream(std::size_t Service);
-  /// Published as draining, then no more, and it serves its flows on.
+  /// Publishes an upstream as draining; it keeps serving its flows.
   void drain(Incarnation Which);
   void unpublish(Incarnation Which);
-  /// It ends, and its flows with it.
+  /// Ends an upstream and its flows.
   void terminate(Incarnation Which);
 
-  /// Opens a flow through a balancer; false when it didn't open.
+  /// Opens a flow through a balancer. Returns false if it was not opened.
   bool open(std::size_t Balancer, std::size_t Address);
-  /// Sends a packet of every open flow whose upstream lives through every
-  /// balancer that has been running for `StartupTime`, and some with a cookie
-  /// of another upstream.
+  /// Sends a packet of every open flow whose upstream is alive through every
+  /// balancer that has run for `StartupTime`, then one with the cookie of each
+  /// other upstream.
   void sendOnAllFlows();
-  /// The same, of one flow, with whatever cookie.
+  /// Sends a packet of one flow with any cookie. Returns whether it was
+  /// accepted.
   bool send(std::size_t Balancer, std::size_t Flow, Cookie FlowCookie);
   Cookie cookie(std::size_t Flow) const { return Flows_[Flow].Cookie_; }
 
   std::size_t openFlows() const { return Flows_.size(); }
-  /// Packets of open flows that did not reach their upstream.
+  /// Number of packets of open flows that did not reach their upstream.
   std::size_t lostPackets() const { return LostPackets_; }
   std::size_t deliveredPackets() const { return DeliveredPackets_; }
-  /// Openings taken by a service that no table ever gave to their address.
+  /// Number of openings that reached a service no table had for their address.
   std::size_t misroutedOpenings() const { return MisroutedOpenings_; }
-  /// Packets that upstreams answered with a reset: they don't hold the flow.
+  /// Number of packets that upstreams rejected because they hold no such flow.
   std::size_t refusedPackets() const { return RefusedPackets_; }
 
 private:
@@ -71,7 +72,7 @@
   };
 
   MemberHooks hooks();
-  /// What an upstream does with a packet: true when it takes it.
+  /// Delivers a packet to an upstream. Returns whether it accepts the packet.
   bool deliver(const Forward &F, const Packet &P);
   std::size_t anyBalancer() const;
 
@@ -81,7 +82,7 @@
   RoutingTable Table_;
   std::map<Endpoint, std::set<ServiceId>> AllowedServices_;
   std::unique_ptr<NewsFleet> News_;
-  Micros RunTo_{}; ///< In virtual time from the start.
+  Micros RunTo_{}; ///< End of the last run, in virtual time.
   std::uint64_t LastUpstream_ = 1000;
   std::uint16_t LastPort_ = 1000;
   std::size_t LostPackets_ = 0;
--- a/test/held-packets-test.cc
+++ b/test/held-packets-test.cc
@@ -21,7 +21,7 @@
 
 } // namespace
 
-TEST_CASE("packets wait in order, and are released once") {
+TEST_CASE("packets are released once and in order") {
   HeldPackets Held;
   for (std::uint8_t I = 0; I < 5; ++I) {
     std::uint8_t Data[] = {I, 0};
@@ -31,25 +31,25 @@
   CHECK(released(Held, at(50ms)).empty());
 }
 
-TEST_CASE("a packet that can't be sent yet waits on, as old as it is") {
+TEST_CASE("a packet that cannot be sent is kept and keeps its age") {
   HeldPackets Held;
   std::uint8_t First[] = {1, 0};
   std::uint8_t Second[] = {2, 0};
   Held.hold(at(0ms), First, 2);
   Held.hold(at(100ms), Second, 2);
   Held.release(at(500ms), [](const std::uint8_t *Data, std::size_t) {
-    return Data[0] == 2; // nobody serves the first one yet
+    return Data[0] == 2; // no upstream for the first one yet
   });
   CHECK(Held.size() == 1);
-  SUBCASE("until it can be sent") {
+  SUBCASE("it is released when it can be sent") {
     CHECK(released(Held, at(1100ms)) == std::vector<std::uint8_t>{1});
   }
-  SUBCASE("or its sender has given up") {
+  SUBCASE("it is dropped once it is too old") {
     CHECK(released(Held, at(1300ms)).empty());
   }
 }
 
-TEST_CASE("what its sender has given up is not sent on") {
+TEST_CASE("a packet that is too old is not released") {
   HeldPackets Held;
   std::uint8_t Old[] = {1, 0};
   std::uint8_t Young[] = {2, 0};
@@ -58,7 +58,7 @@
   CHECK(released(Held, at(1300ms)) == std::vector<std::uint8_t>{2});
 }
 
-TEST_CASE("the number of packets is bounded; the oldest go") {
+TEST_CASE("the oldest packets are dropped at the limit") {
   HeldPackets Held;
   for (std::size_t I = 0; I < HeldPackets::MaxPackets + 10; ++I) {
     std::uint8_t Data[] = {static_cast<std::uint8_t>(I), 0};
--- a/test/opening-retries-test.cc
+++ b/test/opening-retries-test.cc
@@ -1,4 +1,4 @@
-// The timer around unanswered openings; nothing is asserted about durations.
+// Checks that the timer reports each opening once. Asserts no durations.
 #include "opening-retries.h"
 
 #include "clock.h"
@@ -9,7 +9,7 @@
 using namespace thymewall;
 using namespace thymewall::detail;
 
-TEST_CASE("each opening is given back once, as it was") {
+TEST_CASE("each opening is reported once and unchanged") {
   asio::io_context Context;
   std::vector<std::string> Expired;
   OpeningRetries Retries(
@@ -20,8 +20,8 @@
     Retries.onOpeningSent(monoNow(),
                           reinterpret_cast<const std::uint8_t *>(Text.data()),
                           Text.size());
-  Context.run(); // ends once nothing waits any more
+  Context.run(); // returns when no timer is left
   bool BothReturned = Expired == std::vector<std::string>{"first", "second"};
-  // A machine that stalls for 200 ms leaves them to the caller's own copies.
+  // Both are dropped if the machine stalls for 200 ms.
   CHECK((BothReturned || Expired.empty()));
 }
--- a/test/packet-balancer-test.cc
+++ b/test/packet-balancer-test.cc
@@ -7,7 +7,7 @@
 using namespace thymewall::test;
 using namespace std::chrono_literals;
 
-TEST_CASE("a flow stays at its upstream at every balancer that has the list") {
+TEST_CASE("every balancer forwards a flow to the same upstream") {
   PacketBalancer A = makeBalancer();
   PacketBalancer B = makeBalancer();
   for (std::uint16_t Port = 1; Port < 200; ++Port) {
@@ -21,7 +21,8 @@
   }
 }
 
-TEST_CASE("an unanswered opening goes to another upstream of its service") {
+TEST_CASE(
+    "an unanswered opening is retried at another upstream of its service") {
   PacketBalancer B = makeBalancer();
   for (std::uint16_t Port = 1; Port < 100; ++Port) {
     Verdict First = B.steer(at(10ms), openingPacket(Port));
@@ -29,7 +30,7 @@
     REQUIRE(asForward(Second));
     CHECK(upstreamOf(Second) != upstreamOf(First));
     CHECK(upstreamOf(Second) <= 4);
-    // Whichever answer the caller takes, its cookie leads there.
+    // The cookie of either answer leads to the upstream that sent it.
     for (const Verdict &Taken : {First, Second})
       CHECK(upstreamOf(B.steer(
                 at(60ms), flowPacket(Port, asForward(Taken)->Cookie_, 1))) ==
@@ -37,13 +38,12 @@
   }
 }
 
-TEST_CASE("an opening that was answered is not sent again") {
+TEST_CASE("an answered opening is not retried") {
   PacketBalancer B = makeBalancer();
   Verdict Opened = B.steer(at(10ms), openingPacket(1));
   B.steer(at(20ms), flowPacket(1, asForward(Opened)->Cookie_, 1));
   CHECK_FALSE(asForward(B.retryOpening(at(50ms), openingPacket(1))));
-  // Nor one of a flow that is not known here any more, or whose address the
-  // operators have taken away meanwhile.
+  // Openings of unknown flows and removed addresses are not retried either.
   CHECK_FALSE(asForward(B.retryOpening(at(50ms), openingPacket(2))));
   B.steer(at(60ms), openingPacket(3));
   B.setRouting(at(70ms), routingTable(2, {{ArchiveAddress, ArchiveService}}));
@@ -51,7 +51,7 @@
   CHECK(B.counters().OpenRetried_ == 0);
 }
 
-TEST_CASE("with one upstream there is nowhere else to send an opening") {
+TEST_CASE("an opening is not retried if there is only one upstream") {
   PacketBalancer B = makeBalancer();
   B.applyUpstreams(at(0ms), {removedUpstream(12)});
   REQUIRE(upstreamOf(B.steer(at(10ms), openingPacket(1, 0, ArchiveAddress))) ==
@@ -60,14 +60,14 @@
       asForward(B.retryOpening(at(50ms), openingPacket(1, 0, ArchiveAddress))));
 }
 
-TEST_CASE("services never mix") {
+TEST_CASE("openings only go to upstreams of their service") {
   PacketBalancer B = makeBalancer();
   for (std::uint16_t Port = 1; Port < 100; ++Port) {
     CHECK(upstreamOf(B.steer(at(1ms), openingPacket(Port))) <= 4);
     CHECK(upstreamOf(
               B.steer(at(1ms), openingPacket(Port, 0, ArchiveAddress))) >= 11);
   }
-  // Nor does a copy or a retry of an opening, whatever cookie it carries.
+  // The same holds for retransmissions and retries with any cookie.
   for (std::uint16_t Port = 1; Port < 100; ++Port) {
     Packet Copy = openingPacket(Port, 1);
     Copy.Cookie_ = 11;
@@ -76,11 +76,11 @@
   }
 }
 
-TEST_CASE("a packet that opens nothing goes to the upstream of its cookie "
-          "alone, or nowhere") {
+TEST_CASE("a packet of an open flow goes to the upstream of its cookie or is "
+          "dropped") {
   PacketBalancer B = makeBalancer();
-  // Whichever service its address leads to now: an upstream refuses what it
-  // doesn't hold, and openings alone decide what it holds.
+  // The service of its address does not matter: upstreams refuse flows that
+  // they do not hold.
   for (std::uint64_t Id : {1, 2, 3, 4, 11, 12})
     for (const Endpoint &To : {IndexAddress, ArchiveAddress}) {
       Verdict V =
@@ -90,14 +90,14 @@
     }
   CHECK(dropReason(B.steer(at(2ms), flowPacket(7, 5, 1))) ==
         ErrorKind::UnknownCookie);
-  // An address that was taken away gets nothing through.
+  // Packets to a removed address are not forwarded.
   B.setRouting(at(3ms), routingTable(2, {{IndexAddress, IndexService}}));
   B.confirmUpTo(at(3ms));
   Verdict V = B.steer(at(4ms), flowPacket(7, 11, 1, 0, ArchiveAddress));
   CHECK_FALSE(asForward(V));
 }
 
-TEST_CASE("what is no caller's packet goes nowhere") {
+TEST_CASE("packets of servers and packets with unknown cookies are dropped") {
   PacketBalancer B = makeBalancer();
   Packet P = openingPacket(1);
   P.Acknowledges_ = true;
@@ -109,7 +109,7 @@
         ErrorKind::UnknownCookie);
 }
 
-TEST_CASE("a copy of an opening packet goes to another upstream") {
+TEST_CASE("a retransmitted opening goes to another upstream") {
   PacketBalancer B = makeBalancer();
   for (std::uint16_t Port = 1; Port < 100; ++Port) {
     std::uint64_t First = upstreamOf(B.steer(at(0ms), openingPacket(Port)));
@@ -117,13 +117,13 @@
         upstreamOf(B.steer(at(200ms), openingPacket(Port, 1)));
     CHECK(First != Second);
     CHECK(Second != 0);
-    // Answered: an upstream that is new to the flow is not held against it.
+    // The answer of the second upstream is accepted.
     Packet P = flowPacket(Port, static_cast<Cookie>(Second), 1);
     CHECK(upstreamOf(B.steer(at(210ms), P)) == Second);
   }
 }
 
-TEST_CASE("an upstream that answers no opening is ejected, but not all are") {
+TEST_CASE("upstreams that answer no openings are ejected, but never all") {
   PacketBalancer B = makeBalancer();
   std::map<std::uint64_t, int> Openings;
   for (std::uint16_t Port = 1; Port < 200; ++Port) {
@@ -136,7 +136,7 @@
   }
   CHECK(Openings[1] < Openings[2] / 2);
   for (std::uint16_t Port = 300; Port < 400; ++Port)
-    B.steer(at(300ms), openingPacket(Port, 1)); // nobody answers any more
+    B.steer(at(300ms), openingPacket(Port, 1)); // no upstream answers
   CHECK(upstreamOf(B.steer(at(400ms), openingPacket(900))) != 0);
 }
 
@@ -148,8 +148,8 @@
   CHECK(upstreamOf(B.steer(at(11ms), flowPacket(1000, 1, 1))) == 1);
 }
 
-TEST_CASE("a gone upstream keeps its flows for a flow's lifetime and is then "
-          "forgotten") {
+TEST_CASE("a removed upstream keeps its flows for the maximum flow age and is "
+          "then released") {
   PacketBalancer B = makeBalancer();
   B.applyUpstreams(at(10ms), {removedUpstream(1)});
   for (std::uint16_t Port = 1; Port < 100; ++Port)
@@ -159,7 +159,7 @@
     B.tick(at(Time));
   CHECK(dropReason(B.steer(at(70s), flowPacket(1000, 1, 1))) ==
         ErrorKind::UnknownCookie);
-  // The row is used again by another upstream.
+  // Another upstream reuses the row.
   B.applyUpstreams(at(70s), {publishedUpstream(5, ArchiveService)});
   CHECK(upstreamOf(B.steer(at(70s), flowPacket(1, 5, 1, 0, ArchiveAddress))) ==
         5);
@@ -167,7 +167,8 @@
     CHECK(upstreamOf(B.steer(at(70s), openingPacket(Port))) != 5);
 }
 
-TEST_CASE("an upstream that is missing after an outage has two seconds") {
+TEST_CASE("an upstream that is missing after an outage is removed after two "
+          "seconds") {
   PacketBalancer B = makeBalancer();
   auto ReceivesFlows = [&](std::chrono::milliseconds Time) {
     for (std::uint16_t Port = 1; Port < 100; ++Port)
@@ -188,21 +189,21 @@
           std::string_view(raw(U.Incarnation_) == 1 ? "gone" : ""));
 }
 
-TEST_CASE("an address taken over by another service's upstream is another "
-          "upstream") {
+TEST_CASE("packets of a removed upstream keep its incarnation after another "
+          "one takes over its address") {
   PacketBalancer B = makeBalancer();
   B.applyUpstreams(at(10ms),
                    {removedUpstream(1),
                     publishedUpstream(21, ArchiveService, false, 0x0a000001)});
   Verdict Old = B.steer(at(11ms), flowPacket(1, 1, 1));
   REQUIRE(asForward(Old));
-  CHECK(raw(asForward(Old)->Upstream_) == 1); // silent at the new one
+  CHECK(raw(asForward(Old)->Upstream_) == 1); // the new one drops it
   for (std::uint16_t Port = 1; Port < 100; ++Port)
     CHECK(upstreamOf(B.steer(at(11ms), openingPacket(Port))) <= 4);
 }
 
-TEST_CASE("a peer's news of an upstream that has ended leads its flows there, "
-          "and opens none") {
+TEST_CASE("an ended upstream that a peer reports keeps its flows and gets no "
+          "new ones") {
   PacketBalancer B = makeBalancer();
   UpstreamChange Ended = publishedUpstream(5, IndexService);
   Ended.Ended_ = true;
@@ -210,7 +211,7 @@
   CHECK(upstreamOf(B.steer(at(11ms), flowPacket(1, 5, 1))) == 5);
   for (std::uint16_t Port = 1; Port < 100; ++Port)
     CHECK(upstreamOf(B.steer(at(11ms), openingPacket(Port))) != 5);
-  // One that is published here is known better.
+  // The report is ignored for an upstream that is published here.
   Ended = publishedUpstream(1, IndexService);
   Ended.Ended_ = true;
   B.applyUpstreams(at(12ms), {Ended});
@@ -218,7 +219,7 @@
   for (std::uint16_t Port = 200; Port < 300; ++Port)
     ReceivesFlows |= upstreamOf(B.steer(at(13ms), openingPacket(Port))) == 1;
   CHECK(ReceivesFlows);
-  // Back in the list, it takes flows again.
+  // It gets new flows once it is published again.
   B.applyUpstreams(at(14ms), {publishedUpstream(5, IndexService)});
   ReceivesFlows = false;
   for (std::uint16_t Port = 300; Port < 500; ++Port)
@@ -226,7 +227,7 @@
   CHECK(ReceivesFlows);
 }
 
-TEST_CASE("of two upstreams with one cookie the earlier one keeps it") {
+TEST_CASE("of two upstreams with the same cookie the earlier one keeps it") {
   PacketBalancer B = makeBalancer();
   std::uint64_t Collision = (std::uint64_t{7} << 32) | 1;
   B.applyUpstreams(at(1ms), {publishedUpstream(Collision, IndexService)});
@@ -234,11 +235,11 @@
     CHECK(upstreamOf(B.steer(at(2ms), openingPacket(Port))) != Collision);
   CHECK(upstreamOf(B.steer(at(2ms), flowPacket(1, 1, 1))) == 1);
   B.applyUpstreams(
-      at(3ms), {removedUpstream(Collision)}); // ends without harm to the other
+      at(3ms), {removedUpstream(Collision)}); // does not affect the other one
   CHECK(upstreamOf(B.steer(at(4ms), flowPacket(1, 1, 1))) == 1);
 }
 
-TEST_CASE("an unknown address is reset only on fresh knowledge") {
+TEST_CASE("packets to an unknown address are reset only on fresh state") {
   PacketBalancer B = makeBalancer();
   const Endpoint UnknownAddress = Endpoint::v4(0xc6120009, 1);
   Packet P = flowPacket(1, 1, 5000, 0, UnknownAddress);
@@ -250,11 +251,11 @@
   CHECK(Reset->Sequence_ == 5000);
   CHECK(dropReason(B.steer(at(3000ms), P)) == ErrorKind::TableNotFresh);
   B.confirmUpTo(at(2900ms));
-  P.Resets_ = true; // a reset is never answered with one
+  P.Resets_ = true; // a reset is not answered with a reset
   CHECK(std::holds_alternative<Dropped>(B.steer(at(3000ms), P)));
 }
 
-TEST_CASE("before a routing table is known nothing is reset") {
+TEST_CASE("nothing is reset before the first routing table") {
   PacketBalancer B = PacketBalancerBuilder().build();
   CHECK_FALSE(B.ready());
   CHECK(dropReason(B.steer(at(1ms), openingPacket(1))) ==
@@ -266,28 +267,29 @@
   CHECK(dropReason(B.steer(at(1ms), openingPacket(1))) == ErrorKind::NoneLeft);
 }
 
-TEST_CASE("a routing table never gives way to an older one") {
+TEST_CASE("an older routing table is ignored") {
   PacketBalancer B = makeBalancer();
   B.setRouting(at(1ms), routingTable(5, {{IndexAddress, ArchiveService}}));
   B.setRouting(at(2ms), routingTable(4, {{IndexAddress, IndexService}}));
   CHECK(B.status(at(2ms)).RoutingVersion_ == 5);
   CHECK(upstreamOf(B.steer(at(2ms), openingPacket(1))) >= 11);
-  // Flows that the older table placed stay where they are.
+  // Flows opened under the earlier table stay at their upstream.
   CHECK(upstreamOf(B.steer(at(2ms), flowPacket(1, 3, 1))) == 3);
 }
 
-TEST_CASE("after a pause the process trusts nothing that it had learnt") {
+TEST_CASE("after a suspension the state counts as stale") {
   PacketBalancer B = makeBalancer();
   B.tick(at(250ms));
   B.tick(at(500ms));
-  B.tick(at(5000ms)); // 4.5 s asleep
+  B.tick(at(5000ms)); // suspended for 4.5 s
   CHECK(B.counters().LateWakes_ == 1);
   const Endpoint UnknownAddress = Endpoint::v4(0xc6120009, 1);
   CHECK(dropReason(B.steer(at(5001ms), openingPacket(1, 0, UnknownAddress))) ==
         ErrorKind::TableNotFresh);
 }
 
-TEST_CASE("shares of an address are kept, and copies agree on the service") {
+TEST_CASE("services get their share of an address, and retransmissions keep "
+          "the service") {
   auto Table = std::make_shared<RoutingTable>();
   Table->Version_ = 2;
   Table->Addresses_[IndexAddress] = {{IndexService, 90}, {ArchiveService, 10}};
@@ -304,7 +306,8 @@
   CHECK(ArchiveFlows < 500);
 }
 
-TEST_CASE("counts of flows and requests return to zero whatever happens") {
+TEST_CASE(
+    "flow and request counts return to zero after any sequence of events") {
   rc::check([] {
     PacketBalancer B = makeBalancer();
     std::map<std::uint16_t, Cookie> Cookies;
@@ -356,7 +359,8 @@
   });
 }
 
-TEST_CASE("a change is told by name, and a list of thousands is not") {
+TEST_CASE(
+    "a single change is reported as an event, a list of thousands is not") {
   std::vector<UpstreamEvent> Events;
   PacketBalancer B =
       PacketBalancerBuilder()
--- a/test/packets.h
+++ b/test/packets.h
@@ -1,5 +1,6 @@
 /// \file
-/// Packets, routing tables and upstreams for tests of the packet balancer.
+/// Factories of packets, routing tables and upstream changes for tests of the
+/// packet balancer.
 #ifndef THYMEWALL_TEST_PACKETS_H
 #define THYMEWALL_TEST_PACKETS_H
 
@@ -67,8 +68,8 @@
   return P;
 }
 
-/// A balancer with two services: upstreams 1 to 4 of the index, 11 and 12 of
-/// the archive.
+/// Returns a balancer with the upstreams 1 to 4 of the index service and 11 and
+/// 12 of the archive service.
 inline PacketBalancer makeBalancer() {
   PacketBalancer B = PacketBalancerBuilder().build();
   B.setRouting(at({}), routingTable(1, {{IndexAddress, IndexService},
--- a/test/unanswered-openings-test.cc
+++ b/test/unanswered-openings-test.cc
@@ -29,7 +29,7 @@
 
 } // namespace
 
-TEST_CASE("an opening is due once, when its answer should have come") {
+TEST_CASE("an opening expires once, after the timeout") {
   UnansweredOpenings Openings;
   CHECK(Openings.nextDeadline() == MonoTime::max());
   add(Openings, 0ms, 1);
@@ -42,7 +42,7 @@
   CHECK(expiredPackets(Openings, 60ms) == PacketIds{});
 }
 
-TEST_CASE("the time for an answer follows what is set") {
+TEST_CASE("a new timeout applies to later openings") {
   UnansweredOpenings Openings;
   add(Openings, 0ms, 1);
   Openings.setTimeout(120ms);
@@ -52,7 +52,7 @@
   CHECK(expiredPackets(Openings, 130ms) == PacketIds{2});
 }
 
-TEST_CASE("a process that did not run waits for the answers in its socket") {
+TEST_CASE("a late call extends the deadlines") {
   UnansweredOpenings Openings;
   add(Openings, 0ms, 1);
   add(Openings, 30ms, 2);
@@ -61,7 +61,7 @@
   CHECK(expiredPackets(Openings, 130ms) == PacketIds{1, 2});
 }
 
-TEST_CASE("once the caller sends again itself, nothing is due any more") {
+TEST_CASE("an opening is dropped once its caller retransmits it") {
   UnansweredOpenings Openings;
   add(Openings, 0ms, 1);
   add(Openings, 30ms, 2);
@@ -72,7 +72,7 @@
   CHECK(Openings.nextDeadline() == MonoTime::max());
 }
 
-TEST_CASE("the number of packets is bounded") {
+TEST_CASE("openings beyond the limit are ignored") {
   UnansweredOpenings Openings;
   for (std::size_t I = 0; I < UnansweredOpenings::MaxPackets + 10; ++I)
     add(Openings, 0ms, 1);
--- a/test/upstream-address-test.cc
+++ b/test/upstream-address-test.cc
@@ -7,7 +7,7 @@
 
 namespace {
 
-/// A table that names the services 1 and 2.
+/// Returns a routing table that names the services 1 and 2.
 RoutingTablePtr twoServiceTable(Version V) {
   auto Table = std::make_shared<RoutingTable>();
   Table->Version_ = V;
@@ -16,8 +16,8 @@
   return Table;
 }
 
-/// A balancer with a flow at each of its upstreams, and the entry of another
-/// one at the address of one of them.
+/// A balancer with flows at its upstreams, and a change that publishes a
+/// successor at the address of one of them.
 struct SharedAddress {
   SharedAddress() {
     B_.B_.setRouting(at(0ms), twoServiceTable(2));
@@ -44,27 +44,27 @@
 
 } // namespace
 
-TEST_CASE("an upstream that is gone has ended once another has its address") {
+TEST_CASE("a removed upstream is dead once another one has its address") {
   SharedAddress S;
   Balancer3 &B = S.B_;
-  SUBCASE("its flows are reset, and it is never checked nor chosen again") {
+  SUBCASE("its flows are reset and it is never checked or chosen again") {
     B.B_.applyUpstreams(at(100ms), {S.SuccessorChange_, S.firstRemoved()});
     REQUIRE_FALSE(B.Resets_.empty());
     CHECK(B.Resets_.front().Error_ == ErrorKind::UpstreamDead);
     for (auto Now = 250ms; Now < 10s; Now += 250ms)
       B.B_.tick(at(Now));
     CHECK(B.Checks_.empty());
-    // What answers at the address is the other one.
+    // The other upstream answers at the address.
     B.checked(10s, S.FirstId_, CheckResult::Connected, 9s);
     CHECK(S.getsNoFlows(S.FirstId_, 10s));
   }
-  SUBCASE("also after a sleep, which ends other beliefs") {
+  SUBCASE("it stays dead after a suspension") {
     B.B_.applyUpstreams(at(100ms), {S.SuccessorChange_, S.firstRemoved()});
     B.B_.tick(at(250ms));
     B.B_.tick(at(9s));
     CHECK(S.getsNoFlows(S.FirstId_, 9s));
   }
-  SUBCASE("whichever of them is heard of first") {
+  SUBCASE("in any order of the changes") {
     Balancer3 C;
     C.B_.setRouting(at(0ms), twoServiceTable(2));
     C.B_.applyUpstreams(at(0ms), {S.SuccessorChange_});
@@ -72,7 +72,7 @@
     C.B_.applyUpstreams(at(20ms), {S.firstRemoved()});
     CHECK_FALSE(C.takesFlows(S.FirstId_, 30ms));
   }
-  SUBCASE("its own changes are no other upstream") {
+  SUBCASE("a change of its own entry does not replace it") {
     UpstreamChange Same = up(S.FirstId_);
     Same.At_ = 6;
     B.B_.applyUpstreams(at(100ms), {Same});
@@ -80,25 +80,25 @@
   }
 }
 
-TEST_CASE("an entry that is written late takes no address from who has it") {
-  // The first upstream is cut off and crashes behind the cut; another one takes
-  // its address. When the cut heals, what the first wrote before arrives.
+TEST_CASE("a delayed entry does not take over an address") {
+  // The first upstream crashes behind a network partition and another one takes
+  // its address. Its delayed entry arrives when the partition heals.
   SharedAddress S;
   Balancer3 &B = S.B_;
   S.SuccessorChange_.Entry_->Service_ = ServiceId{1};
   B.B_.applyUpstreams(at(100ms), {S.firstRemoved()});
   B.B_.applyUpstreams(at(200ms), {S.SuccessorChange_});
-  B.follow(300ms, 500, 7, 1000, 1, 100); // a flow at the other one
+  B.follow(300ms, 500, 7, 1000, 1, 100); // a flow at its successor
   std::size_t Before = B.Resets_.size();
   UpstreamChange Late = up(S.FirstId_);
   Late.At_ = 724;
-  SUBCASE("at a balancer that knows both") {
+  SUBCASE("at a balancer that knows both upstreams") {
     B.B_.applyUpstreams(at(400ms), {Late});
     CHECK(B.Resets_.size() == Before);
     CHECK(B.takesFlows(7, 500ms));
     CHECK_FALSE(B.takesFlows(S.FirstId_, 500ms));
   }
-  SUBCASE("at one that has just started") {
+  SUBCASE("at a balancer that has just started") {
     Balancer3 C;
     C.B_.setRouting(at(0ms), twoServiceTable(2));
     C.B_.applyUpstreams(at(0ms), {S.SuccessorChange_});
@@ -111,7 +111,7 @@
   }
 }
 
-TEST_CASE("where births are told the later start has the address") {
+TEST_CASE("with start times, the upstream that started later has the address") {
   SharedAddress S;
   Balancer3 &B = S.B_;
   UpstreamChange First = up(S.FirstId_);
@@ -122,12 +122,12 @@
   B.request(400);
   while (B.request(400) != S.FirstId_)
     B.finish(11ms, 400, 0, 0);
-  SUBCASE("also while the earlier one is still published") {
+  SUBCASE("while the earlier one is still published") {
     B.B_.applyUpstreams(at(100ms), {S.SuccessorChange_});
     CHECK_FALSE(B.Resets_.empty());
     CHECK(S.getsNoFlows(S.FirstId_, 200ms));
   }
-  SUBCASE("also when the earlier one is published again, later") {
+  SUBCASE("when the earlier one is published again") {
     B.B_.applyUpstreams(at(100ms), {S.SuccessorChange_});
     B.follow(150ms, 500, 7, 1000, 1, 100);
     std::size_t Before = B.Resets_.size();
@@ -138,13 +138,13 @@
   }
 }
 
-TEST_CASE("an entry of a service that nobody has named takes no address") {
+TEST_CASE("an upstream of an unnamed service does not take over an address") {
   SharedAddress S;
   Balancer3 &B = S.B_;
   S.SuccessorChange_.Entry_->Service_ = ServiceId{99};
   B.B_.applyUpstreams(at(100ms), {S.SuccessorChange_, S.firstRemoved()});
   CHECK(B.Resets_.empty());
-  SUBCASE("until a table names it") {
+  SUBCASE("until a routing table names the service") {
     auto Table = std::make_shared<RoutingTable>(*twoServiceTable(3));
     Table->ServiceNames_[99] = "new";
     B.B_.setRouting(at(200ms), Table);
--- a/test/upstream-restart-test.cc
+++ b/test/upstream-restart-test.cc
@@ -15,7 +15,7 @@
   return Change;
 }
 
-/// A balancer whose upstreams tell their births, with a flow at one of them.
+/// A balancer whose upstreams publish start times, with a flow at one of them.
 struct RestartedUpstream {
   RestartedUpstream() {
     B_.B_.applyUpstreams(at(0ms), {startedUpstream(1, 100, 2),
@@ -34,10 +34,10 @@
 
 } // namespace
 
-TEST_CASE("a start under the same incarnation ends every verdict") {
+TEST_CASE("a restart under the same incarnation clears all failures") {
   RestartedUpstream R;
   Balancer3 &B = R.B_;
-  SUBCASE("death") {
+  SUBCASE("a failed liveness check") {
     B.checked(300ms, R.RestartedId_, CheckResult::Dead, 200ms);
     REQUIRE_FALSE(B.takesFlows(R.RestartedId_, 350ms));
     R.restart(400ms);
@@ -52,7 +52,7 @@
     R.restart(400ms);
     CHECK(B.takesFlows(R.RestartedId_, 450ms));
   }
-  SUBCASE("the end at an address that another has taken") {
+  SUBCASE("the takeover of its address by another upstream") {
     UpstreamChange Next = startedUpstream(7, 150, 8);
     Next.Entry_->At_ = up(R.RestartedId_).Entry_->At_;
     B.B_.applyUpstreams(at(100ms), {Next});
@@ -64,16 +64,16 @@
   }
 }
 
-TEST_CASE("what began before a start says nothing of it") {
+TEST_CASE("evidence from before a restart is ignored") {
   RestartedUpstream R;
   Balancer3 &B = R.B_;
   R.restart(400ms);
-  SUBCASE("a check") {
+  SUBCASE("a liveness check") {
     B.checked(500ms, R.RestartedId_, CheckResult::Dead, 350ms);
     CHECK(B.takesFlows(R.RestartedId_, 550ms));
     CHECK(B.Warnings_.empty());
   }
-  SUBCASE("a peer's warning of the earlier start") {
+  SUBCASE("a peer's warning about the earlier start") {
     B.B_.onPeerWarning(at(500ms), {Incarnation{R.RestartedId_},
                                    UpstreamWarning::Kind::Dead, FlowId{}, 100});
     B.B_.tick(at(600ms));
@@ -83,7 +83,7 @@
     B.B_.tick(at(850ms));
     CHECK(B.Checks_ == std::vector<std::uint64_t>{R.RestartedId_});
   }
-  SUBCASE("a request that waits: no stall, no check") {
+  SUBCASE("a pending request") {
     for (auto Now = 500ms; Now < 3s; Now += 250ms)
       B.B_.tick(at(Now));
     CHECK(B.Warnings_.empty());
@@ -91,7 +91,7 @@
   }
 }
 
-TEST_CASE("flows are left to the new start, which knows which it holds") {
+TEST_CASE("flows are forwarded to the restarted upstream and not reset") {
   RestartedUpstream R;
   Balancer3 &B = R.B_;
   R.restart(400ms);
@@ -107,7 +107,7 @@
   CHECK(raw(F->Upstream_) == R.RestartedId_);
 }
 
-TEST_CASE("requests at the earlier start weigh nothing at the new one") {
+TEST_CASE("requests sent before the restart do not count as load") {
   RestartedUpstream R;
   Balancer3 &B = R.B_;
   for (std::uint16_t Port = 1000; Port < 1100; ++Port)
