--- a/bench/cold-ways.cc
+++ b/bench/cold-ways.cc
@@ -24,30 +24,31 @@
                           {"a hall of 40", 80, 40},
                           {"all 40 cold", 0, 40}};
 
-void compare(std::size_t Balancers, double PerSecond, ColdWay Way, double For) {
+void compare(std::size_t Balancers, double PerSecond, AdmissionPolicy Way,
+             double For) {
   ColdOutcome Worst;
   double LeastUsed = 1e9;
   std::string WorstAt;
   for (const Load &L : Loads)
-    for (int Which = 0; Which <= static_cast<int>(FleetBelief::Restarted);
+    for (int Which = 0; Which <= static_cast<int>(MembershipModel::Restarted);
          ++Which) {
       ColdScenario S{Balancers,
                      L.Warm_,
                      L.Cold_,
                      {PerSecond, 1.5, 5},
-                     static_cast<FleetBelief>(Which)};
+                     static_cast<MembershipModel>(Which)};
       for (std::uint64_t Seed = 1; Seed <= Seeds; ++Seed) {
         ColdOutcome O = play(S, Way, For, Seed);
-        if (O.Fullest_ > Worst.Fullest_)
+        if (O.PeakRatio_ > Worst.PeakRatio_)
           WorstAt = std::string(L.Name_) + ", " + nameOf(S.Belief_);
-        Worst.Fullest_ = std::max(Worst.Fullest_, O.Fullest_);
+        Worst.PeakRatio_ = std::max(Worst.PeakRatio_, O.PeakRatio_);
         Worst.Rejected_ = std::max(Worst.Rejected_, O.Rejected_);
-        if (S.Belief_ == FleetBelief::Alike)
+        if (S.Belief_ == MembershipModel::Alike)
           LeastUsed = std::min(LeastUsed, O.Used_);
       }
     }
   std::printf("%4zu %5.0f  %-7s %6.2f  %5.2f  %5.2f  %s\n", Balancers,
-              PerSecond, nameOf(Way).c_str(), Worst.Fullest_, LeastUsed,
+              PerSecond, nameOf(Way).c_str(), Worst.PeakRatio_, LeastUsed,
               Worst.Rejected_, WorstAt.c_str());
 }
 
@@ -59,7 +60,8 @@
               "(alike, least), rejected (most), worst at\n");
   for (std::size_t Balancers : {8U, 90U, 300U})
     for (double PerSecond : {2.0, 10.0, 50.0})
-      for (ColdWay Way :
-           {ColdWay::Ramp, ColdWay::Bucket, ColdWay::Owners, ColdWay::Weight})
+      for (AdmissionPolicy Way :
+           {AdmissionPolicy::Ramp, AdmissionPolicy::Bucket,
+            AdmissionPolicy::Owners, AdmissionPolicy::Weight})
         compare(Balancers, PerSecond, Way, For);
 }
--- a/include/thymewall/answer-sizes.h
+++ b/include/thymewall/answer-sizes.h
@@ -20,17 +20,17 @@
 class AnswerSizes {
 public:
   /// Nothing is judged by fewer answers.
-  static constexpr std::uint32_t FewestKnown = 32;
+  static constexpr std::uint32_t MinSamples = 32;
   /// Beyond so many the older ones count half: what an address gives may
   /// change.
-  static constexpr std::uint32_t MostKnown = 1024;
+  static constexpr std::uint32_t MaxSamples = 1024;
   /// Below this share of right answers none is held to be usual: a right
   /// answer is seldom taken for a failure.
-  static constexpr double UnusualShare = 0.005;
+  static constexpr double BaselineQuantile = 0.005;
   /// A short answer is less than half of the shortest usual one.
-  static constexpr double ShortTimes = 2;
+  static constexpr double ShortFactor = 2;
   /// Addresses that are remembered; others are not judged.
-  static constexpr std::size_t MostAddresses = 256;
+  static constexpr std::size_t MaxAddresses = 256;
 
   AnswerSizes();
   AnswerSizes(AnswerSizes &&) noexcept;
--- a/include/thymewall/balancer.h
+++ b/include/thymewall/balancer.h
@@ -161,7 +161,7 @@
   Incarnation Incarnation_{};
   std::uint64_t Seed_ = 0;
   KeyPair Keys_{};
-  Chooser Chooser_ = chooseTwoOwn;
+  Chooser Chooser_ = chooseByOwnFlows;
   ZoneClock Zones_;
   DelayHook OnDelay_;
   std::uint32_t FlowBound_ = 1'000'000;
--- a/include/thymewall/cold-admission.h
+++ b/include/thymewall/cold-admission.h
@@ -22,48 +22,50 @@
 
 /// New flows that a cold upstream bears in any second, from the whole fleet.
 struct ColdLimit {
-  double PerSecond_ = 0; ///< As published for its service; 0 is no limit.
-  double Over_ = 1;      ///< At most so many times that,
-  double Slack_ = 0;     ///< and so many flows more.
+  double PerSecond_ = 0;      ///< As published for its service; 0 is no limit.
+  double BurstFactor_ = 1;    ///< At most so many times that,
+  double BurstAllowance_ = 0; ///< and so many flows more.
 
-  bool given() const { return PerSecond_ > 0; }
-  double most() const { return PerSecond_ * Over_ + Slack_; }
+  bool isSet() const { return PerSecond_ > 0; }
+  double burstLimit() const {
+    return PerSecond_ * BurstFactor_ + BurstAllowance_;
+  }
 };
 inline bool operator==(const ColdLimit &A, const ColdLimit &B) {
   auto Fields = [](const ColdLimit &L) {
-    return std::tie(L.PerSecond_, L.Over_, L.Slack_);
+    return std::tie(L.PerSecond_, L.BurstFactor_, L.BurstAllowance_);
   };
   return Fields(A) == Fields(B);
 }
 
 /// The fleet as one balancer believes it to be.
 struct FleetView {
-  std::uint64_t Self_ = 0;            ///< Hash of this balancer's name.
-  std::vector<std::uint64_t> Others_; ///< That it has heard of.
+  std::uint64_t SelfHash_ = 0;            ///< Hash of this balancer's name.
+  std::vector<std::uint64_t> PeerHashes_; ///< That it has heard of.
   /// It has been here for long enough to have heard of the others, and stays.
   bool Settled_ = false;
   /// How many balancers there are, as it judges; not below those it knows.
-  std::size_t Balancers_ = 1;
+  std::size_t EstimatedSize_ = 1;
 };
 inline bool operator==(const FleetView &A, const FleetView &B) {
   auto Fields = [](const FleetView &V) {
-    return std::tie(V.Self_, V.Others_, V.Settled_, V.Balancers_);
+    return std::tie(V.SelfHash_, V.PeerHashes_, V.Settled_, V.EstimatedSize_);
   };
   return Fields(A) == Fields(B);
 }
 
 /// How a cold upstream's limit is parted: `Owners_` balancers, each of which
-/// opens a flow at most once in `Every_`.
-struct ColdParts {
+/// opens a flow at most once in `MinInterval_`.
+struct ColdQuota {
   std::size_t Owners_ = 0; ///< 0: nothing fits into the limit.
-  Micros Every_{};
+  Micros MinInterval_{};
 };
 /// As many owners as give each a few flows a second. All parts together are a
 /// sixth of the limit, so that it holds while six times as many balancers as
 /// there should be take themselves for owners, each unaware of the others.
 /// Gain: on virtual time at most .70 of the limit in any second, where a bucket
 /// divided by the members gives 37.5 times it at 300 balancers.
-ColdParts coldParts(const ColdLimit &Limit);
+ColdQuota coldQuota(const ColdLimit &Limit);
 
 /// One balancer's part in all cold upstreams.
 class ColdAdmission {
@@ -72,20 +74,21 @@
   /// Whether this balancer may open a flow to \p Upstream at \p Now.
   bool admits(MonoTime Now, Incarnation Upstream, const ColdLimit &Limit);
   /// It has opened one.
-  void opened(MonoTime Now, Incarnation Upstream, const ColdLimit &Limit);
+  void recordOpening(MonoTime Now, Incarnation Upstream,
+                     const ColdLimit &Limit);
   void forget(Incarnation Upstream) { Parts_.erase(raw(Upstream)); }
 
 private:
   struct Part {
     MonoTime NextAt_{};
-    std::uint64_t View_ = 0; ///< `ViewNumber_` when `Owns_` was worked out.
+    std::uint64_t View_ = 0; ///< `ViewGeneration_` when `Owns_` was worked out.
     bool Owns_ = false;
   };
   bool owns(Incarnation Upstream, std::size_t Owners) const;
-  std::size_t judgedBefore(std::uint64_t Own) const;
+  std::size_t estimatedRank(std::uint64_t Own) const;
 
   FleetView View_;
-  std::uint64_t ViewNumber_ = 0;
+  std::uint64_t ViewGeneration_ = 0;
   std::unordered_map<std::uint64_t, Part> Parts_;
 };
 
--- a/include/thymewall/packet-balancer.h
+++ b/include/thymewall/packet-balancer.h
@@ -151,7 +151,7 @@
 
 /// Settings of a packet balancer; the defaults suit an entry host of today.
 struct PacketBalancerOptions {
-  Chooser Chooser_ = chooseTwoInProgress;
+  Chooser Chooser_ = chooseByInProgress;
   DecisionHook OnDecision_;
   BeliefHook OnBelief_;
   PacketDelayHook OnDelay_;
@@ -164,7 +164,8 @@
   /// A flow older than this may be forgotten, and so may its upstream.
   Micros FlowLimit_ = std::chrono::seconds(60);
   std::uint32_t FlowBound_ = 200'000;
-  /// `Over_` and `Slack_` hold for every service that publishes a limit.
+  /// `BurstFactor_` and `BurstAllowance_` hold for every service that publishes
+  /// a limit.
   ColdLimit Cold_;
 };
 
--- a/include/thymewall/silence-evidence.h
+++ b/include/thymewall/silence-evidence.h
@@ -22,17 +22,17 @@
 
 /// Unanswered requests by upstream, which is named by its index in the upstream
 /// table. No clock of its own.
-class SilenceEvidence {
+class FailureEvidence {
 public:
   /// A request counts for this long. In a fleet of hundreds an upstream has
   /// some six requests a second: those of a hang add up within it.
-  static constexpr Micros CountsFor = std::chrono::milliseconds(2000);
+  static constexpr Micros CountingWindow = std::chrono::milliseconds(2000);
   /// Requests kept of an upstream; more would decide nothing.
-  static constexpr std::size_t Kept = 16;
+  static constexpr std::size_t MaxRequests = 16;
   /// The share of well upstreams that chance may leave out: new flows of the
   /// others fit into what is left, and a smaller one delays the verdict on a
   /// fifth of a service that hangs.
-  static constexpr double FalseShare = 0.025;
+  static constexpr double DefaultFalsePositiveRate = 0.025;
 
   /// A request of \p Flow was left unanswered by the upstream. False when it is
   /// known already.
@@ -44,16 +44,18 @@
   void expire(MonoTime Now);
 
   /// Requests that count against the upstream now.
-  std::size_t against(MonoTime Now, std::uint32_t Upstream) const;
+  std::size_t count(MonoTime Now, std::uint32_t Upstream) const;
   /// Requests that it takes to believe that the upstream hangs, given how many
   /// of the other \p Members of its service are silent too.
-  std::size_t needed(MonoTime Now, std::uint32_t Upstream,
-                     const std::vector<std::uint32_t> &Members,
-                     double FalselyTaken = FalseShare) const;
+  std::size_t
+  threshold(MonoTime Now, std::uint32_t Upstream,
+            const std::vector<std::uint32_t> &Members,
+            double FalsePositiveRate = DefaultFalsePositiveRate) const;
   /// The same for \p Silent silent ones among \p Others: if silence fell on all
-  /// alike, at most \p FalselyTaken of them would have so many requests.
-  static std::size_t neededAmong(std::size_t Others, std::size_t Silent,
-                                 double FalselyTaken = FalseShare);
+  /// alike, at most \p FalsePositiveRate of them would have so many requests.
+  static std::size_t
+  thresholdAmong(std::size_t Others, std::size_t Silent,
+                 double FalsePositiveRate = DefaultFalsePositiveRate);
 
 private:
   struct Request {
--- a/include/thymewall/upstream-list.h
+++ b/include/thymewall/upstream-list.h
@@ -14,13 +14,13 @@
 
 namespace thymewall {
 
-/// An upstream as it is published. `Incarnation_` and `BornMs_` together are
-/// new with every start; most starts have a new `Incarnation_`.
+/// An upstream as it is published. `Incarnation_` and `StartTimeMs_` together
+/// are new with every start; most starts have a new `Incarnation_`.
 struct UpstreamEntry {
   Incarnation Incarnation_{};
   /// Unix milliseconds of this start; 0 where it is not told. Tells apart
   /// starts with the same `Incarnation_`.
-  std::uint64_t BornMs_ = 0;
+  std::uint64_t StartTimeMs_ = 0;
   ServiceId Service_{};
   Endpoint At_;
   std::string DataHall_;
@@ -31,8 +31,8 @@
 };
 inline bool operator==(const UpstreamEntry &A, const UpstreamEntry &B) {
   auto Fields = [](const UpstreamEntry &E) {
-    return std::tie(E.Incarnation_, E.BornMs_, E.Service_, E.At_, E.DataHall_,
-                    E.Slots_, E.Draining_, E.WarmAt_, E.Part_);
+    return std::tie(E.Incarnation_, E.StartTimeMs_, E.Service_, E.At_,
+                    E.DataHall_, E.Slots_, E.Draining_, E.WarmAt_, E.Part_);
   };
   return Fields(A) == Fields(B);
 }
@@ -40,7 +40,7 @@
 /// One upstream's last change; without an entry it is gone.
 struct UpstreamChange {
   Incarnation Incarnation_{};
-  Revision At_ = 0;
+  Revision Revision_ = 0;
   std::optional<UpstreamEntry> Entry_;
   /// `Entry_` was its last one: it is published no more, and may still serve
   /// the flows that it holds.
@@ -48,8 +48,8 @@
 };
 
 inline bool operator==(const UpstreamChange &A, const UpstreamChange &B) {
-  return std::tie(A.Incarnation_, A.At_, A.Entry_, A.Ended_) ==
-         std::tie(B.Incarnation_, B.At_, B.Entry_, B.Ended_);
+  return std::tie(A.Incarnation_, A.Revision_, A.Entry_, A.Ended_) ==
+         std::tie(B.Incarnation_, B.Revision_, B.Entry_, B.Ended_);
 }
 
 /// Changes that are complete from just after `After_` through `Through_`.
@@ -66,7 +66,7 @@
   /// those that may never have heard of them.
   std::vector<UpstreamChange> Ended_{};
   /// Parts of a whole list that are just what the receiver said it has.
-  ListParts Same_{};
+  ListParts UnchangedParts_{};
 };
 
 /// What the entries of each part are, by incarnation and revision.
@@ -77,10 +77,10 @@
 public:
   /// How many ends of upstreams are kept, so that a peer which is behind can be
   /// told of changes alone: a day of today's deployments has about 100.
-  static constexpr std::size_t KeptEnds = 512;
+  static constexpr std::size_t MaxTombstones = 512;
   /// Last entries of upstreams that have ended, for balancers that start: flows
   /// at such an upstream go on for tens of seconds. Up to 30 KB in a message.
-  static constexpr std::size_t KeptEnded = 512;
+  static constexpr std::size_t MaxEndedEntries = 512;
 
   /// Applies what is newer than `through()` and appends to \p Applied what has
   /// changed here. False for a batch that starts after `through()`: changes in
@@ -89,12 +89,12 @@
 
   /// What is needed by a list that is complete through \p After; the whole list
   /// when the ends since then are no longer known.
-  UpstreamBatch since(Revision After) const;
+  UpstreamBatch changesSince(Revision After) const;
   /// The whole list for a receiver that has entries with these digests, of
   /// which it doesn't know through which revision they are complete.
-  UpstreamBatch sinceDigests(const PartDigests &Theirs) const;
+  UpstreamBatch diffByDigests(const PartDigests &Theirs) const;
   /// The entries of some parts; says nothing of what they lack.
-  UpstreamBatch parts(const ListParts &Which) const;
+  UpstreamBatch entriesIn(const ListParts &Which) const;
   PartDigests digests() const;
 
   /// The upstreams that have ended lately, the earliest first.
@@ -107,25 +107,25 @@
 
 private:
   struct Row {
-    Revision At_ = 0;
+    Revision Revision_ = 0;
     UpstreamEntry Entry_;
   };
-  void applyOne(const UpstreamChange &Change,
-                std::vector<UpstreamChange> &Applied);
-  void applyAbsences(const UpstreamBatch &Batch,
-                     std::vector<UpstreamChange> &Applied);
+  void applyChange(const UpstreamChange &Change,
+                   std::vector<UpstreamChange> &Applied);
+  void removeAbsent(const UpstreamBatch &Batch,
+                    std::vector<UpstreamChange> &Applied);
   void applyEnded(const UpstreamChange &Change,
                   std::vector<UpstreamChange> &Applied);
-  void keepEnd(Incarnation Which, Revision At);
-  void keepEnded(Incarnation Which, const Row &Last);
+  void addTombstone(Incarnation Which, Revision At);
+  void addEnded(Incarnation Which, const Row &Last);
   bool hasEnded(Incarnation Which) const;
   std::uint64_t bornMs(Incarnation Which) const;
-  void forgetEnded(Incarnation Which);
+  void removeEnded(Incarnation Which);
 
   std::map<Incarnation, Row> Entries_;
-  std::map<Revision, Incarnation> Ends_;
+  std::map<Revision, Incarnation> Tombstones_;
   std::deque<UpstreamChange> Ended_; ///< With `Ended_` set, and their entries.
-  Revision EndsKnownAfter_ = 0;      ///< All ends after it are in `Ends_`.
+  Revision TombstonesAfter_ = 0; ///< All ends after it are in `Tombstones_`.
   Revision Through_ = 0;
 };
 
--- a/include/thymewall/upstream-warning.h
+++ b/include/thymewall/upstream-warning.h
@@ -21,15 +21,15 @@
   FlowId Flow_{};
   /// Of the start that is meant, as it is published: a warning of one start
   /// says nothing of the next one under the same incarnation.
-  std::uint64_t BornMs_ = 0;
+  std::uint64_t StartTimeMs_ = 0;
 };
 inline bool operator==(const UpstreamWarning &A, const UpstreamWarning &B) {
-  return std::tie(A.Upstream_, A.Kind_, A.Flow_, A.BornMs_) ==
-         std::tie(B.Upstream_, B.Kind_, B.Flow_, B.BornMs_);
+  return std::tie(A.Upstream_, A.Kind_, A.Flow_, A.StartTimeMs_) ==
+         std::tie(B.Upstream_, B.Kind_, B.Flow_, B.StartTimeMs_);
 }
 inline bool operator<(const UpstreamWarning &A, const UpstreamWarning &B) {
-  return std::tie(A.Upstream_, A.Kind_, A.Flow_, A.BornMs_) <
-         std::tie(B.Upstream_, B.Kind_, B.Flow_, B.BornMs_);
+  return std::tie(A.Upstream_, A.Kind_, A.Flow_, A.StartTimeMs_) <
+         std::tie(B.Upstream_, B.Kind_, B.Flow_, B.StartTimeMs_);
 }
 
 } // namespace thymewall
--- a/src/answer-sizes.cc
+++ b/src/answer-sizes.cc
@@ -43,8 +43,8 @@
 };
 
 bool UsualSizes::isShort(std::uint32_t Bytes) {
-  bool Short = Known_ >= AnswerSizes::FewestKnown &&
-               Bytes * AnswerSizes::ShortTimes < Shortest_;
+  bool Short = Known_ >= AnswerSizes::MinSamples &&
+               Bytes * AnswerSizes::ShortFactor < Shortest_;
   ShortShare_ += ((Short ? 1 : 0) - ShortShare_) * ShareWeight;
   if (ShortShare_ > ChangedShare)
     *this = UsualSizes();
@@ -56,9 +56,9 @@
 void UsualSizes::learn(std::uint32_t Bytes) {
   Right_(std::clamp<double>(Bytes, SmallestSize, LargestSize - 1));
   ++Known_;
-  if (Known_ % AnswerSizes::FewestKnown != 0)
+  if (Known_ % AnswerSizes::MinSamples != 0)
     return;
-  double Unusual = AnswerSizes::UnusualShare * Known_;
+  double Unusual = AnswerSizes::BaselineQuantile * Known_;
   double Below = 0;
   const Axis &Sizes = Right_.axis();
   for (int Bucket = 0; Bucket < Sizes.size(); ++Bucket) {
@@ -67,7 +67,7 @@
     if (Below > Unusual)
       break;
   }
-  if (Known_ < AnswerSizes::MostKnown)
+  if (Known_ < AnswerSizes::MaxSamples)
     return;
   Right_ *= 0.5;
   Known_ /= 2;
@@ -78,7 +78,7 @@
 class AnswerSizes::Impl {
 public:
   bool isShort(const Endpoint &Address, std::uint32_t Bytes) {
-    bool Full = Usual_.size() >= MostAddresses;
+    bool Full = Usual_.size() >= MaxAddresses;
     if (Full && Usual_.count(Address) == 0)
       return false;
     return Usual_[Address].isShort(Bytes);
--- a/src/balancer-caller.cc
+++ b/src/balancer-caller.cc
@@ -65,12 +65,12 @@
 /// Index of the upstream that a route names. The address must not have gone to
 /// another upstream since.
 std::uint32_t Balancer::Impl::holder(const Route &R) {
-  std::uint32_t Index = Upstreams_.byId(R.Upstream_);
-  std::uint32_t AtAddress = Upstreams_.byEndpoint(R.UpstreamAt_);
+  std::uint32_t Index = Upstreams_.findById(R.Upstream_);
+  std::uint32_t AtAddress = Upstreams_.findByEndpoint(R.UpstreamAt_);
   bool Reused = AtAddress != UpstreamTable::None && AtAddress != Index;
   if (Reused || Index != UpstreamTable::None)
     return Reused ? UpstreamTable::None : Index;
-  return Upstreams_.adopt(R.Upstream_, R.UpstreamAt_);
+  return Upstreams_.addUndeclared(R.Upstream_, R.UpstreamAt_);
 }
 
 void Balancer::Impl::openFlow(Message M, bool MayPass) {
@@ -96,17 +96,17 @@
   placeFlow(M, *S);
 }
 
-const Eligible &Balancer::Impl::eligibleOf(ServiceState &S) {
+const EligibleSet &Balancer::Impl::eligibleOf(ServiceState &S) {
   if (S.Generation_ == Upstreams_.generation())
     return S.Eligible_;
-  Upstreams_.eligibleNow(S.Selected_, Now_.Mono_, S.Eligible_);
+  Upstreams_.selectEligible(S.Selected_, Now_.Mono_, S.Eligible_);
   S.Generation_ = Upstreams_.generation();
   return S.Eligible_;
 }
 
 std::uint32_t Balancer::Impl::choose(const FlowKey &Key,
-                                     const Eligible &Among) const {
-  Choice C{Key, Among, Upstreams_.rows(), Now_.Mono_};
+                                     const EligibleSet &Among) const {
+  ChooserInput C{Key, Among, Upstreams_.rows(), Now_.Mono_};
   return Among.Indexes_[Options_.Chooser_(C)];
 }
 
@@ -119,7 +119,7 @@
   if (Placed && Index == UpstreamTable::None)
     return drop(ErrorKind::NumberUsed); // a late copy of a closed flow's open
   if (Index == UpstreamTable::None) {
-    const Eligible &Among = eligibleOf(S);
+    const EligibleSet &Among = eligibleOf(S);
     if (Among.empty())
       return refuse(M, ErrorKind::NoUpstream, Answer::NotRun);
     Index = choose(Key, Among);
@@ -165,7 +165,7 @@
     --Last.OwnFlows_;
   bool May = S && !Placed && Row.Tries_ < MaxOpenTries &&
              S->RetryTokens_ >= 1 && Now_.Wall_ < Row.Deadline_;
-  Eligible Others;
+  EligibleSet Others;
   if (May)
     for (std::uint32_t Index : eligibleOf(*S).Indexes_)
       if (Index != Row.Upstream_)
--- a/src/balancer-home.cc
+++ b/src/balancer-home.cc
@@ -120,7 +120,7 @@
   std::uint32_t Index = Row.Upstream_;
   bool Closed = Index == UpstreamTable::None;
   bool Used = has(Mechanism::NumberWindow) && Row.numberUsed(M.Request_);
-  bool Replays = !Closed && Upstreams_[Index].Remembers_;
+  bool Replays = !Closed && Upstreams_[Index].RemembersRequests_;
   if (Used && From == Origin::Own && stoppedHandingOn())
     return delegate(M, R, PeerKind::Repeat);
   if (Used && !Replays)
@@ -236,7 +236,7 @@
   ++Counters_.Rehomed_;
   if (!Row || Row->Upstream_ == UpstreamTable::None)
     return refuse(M, Why, Answer::OutcomeUnknown);
-  if (Row->Upstream_ == Index && Upstreams_[Index].Remembers_)
+  if (Row->Upstream_ == Index && Upstreams_[Index].RemembersRequests_)
     return submitToRow(*Row, M, R, Origin::Replayed);
   Row->useNumber(M.Request_);
   SealedRoute Sealed = routeOf(*Row, R.UpstreamIncarnation_);
--- a/src/balancer-impl.h
+++ b/src/balancer-impl.h
@@ -39,7 +39,7 @@
   Service Service_;
   std::vector<std::uint32_t> Selected_; ///< Indexes of its upstreams now.
   double RetryTokens_ = 0;
-  Eligible Eligible_;            ///< Of `Selected_`, as of `Generation_`.
+  EligibleSet Eligible_;         ///< Of `Selected_`, as of `Generation_`.
   std::uint64_t Generation_ = 0; ///< 0: to be worked out.
 };
 
@@ -97,8 +97,8 @@
   // Callers (balancer-caller.cc).
   void openFlow(Message M, bool MayPass);
   void placeFlow(const Message &M, ServiceState &S);
-  const Eligible &eligibleOf(ServiceState &S);
-  std::uint32_t choose(const FlowKey &Key, const Eligible &Among) const;
+  const EligibleSet &eligibleOf(ServiceState &S);
+  std::uint32_t choose(const FlowKey &Key, const EligibleSet &Among) const;
   void sendOpen(const RequestRow &Row);
   void retryOpen(RequestRow &Row, ErrorKind Why);
   void request(const Message &M);
--- a/src/balancer-upstream.cc
+++ b/src/balancer-upstream.cc
@@ -15,10 +15,10 @@
 
 void Balancer::Impl::on(const FromUpstream &E) {
   const Message &M = E.Message_;
-  std::uint32_t Index = Upstreams_.byEndpoint(E.From_);
+  std::uint32_t Index = Upstreams_.findByEndpoint(E.From_);
   if (Index == UpstreamTable::None)
     return drop(ErrorKind::UnknownSender);
-  Upstreams_.seen(Index, M.Incarnation_, Now_.Mono_);
+  Upstreams_.recordIncarnation(Index, M.Incarnation_, Now_.Mono_);
   Upstreams_[Index].ReportedFlows_ = M.Load_;
   switch (M.Kind_) {
   case Kind::Opened:
@@ -70,7 +70,7 @@
   RequestRow *Row = attemptOf(M, Upstream);
   if (!Row || M.Request_ != 0)
     return;
-  Upstreams_.succeeded(Upstream);
+  Upstreams_.recordSuccess(Upstream);
   if (Options_.OnDelay_)
     Options_.OnDelay_(M.Service_, RequestClass::Open, Now_.Mono_ - Row->Sent_);
   Endpoint Caller = Row->Caller_;
@@ -121,7 +121,7 @@
   if (Row->PartsSeen_ != allParts(Parts))
     return;
   ++Counters_.Answered_;
-  Upstreams_.succeeded(Upstream);
+  Upstreams_.recordSuccess(Upstream);
   if (Options_.OnDelay_)
     Options_.OnDelay_(
         M.Service_, Row->Once_ ? RequestClass::Once : RequestClass::Repeatable,
--- a/src/balancer.cc
+++ b/src/balancer.cc
@@ -48,7 +48,7 @@
   ++Counters_.LateWakes_;
   Fresh_ = false;
   TrustOldIntentAt_ = Now_.Mono_ + TrustOldIntentAfter;
-  Upstreams_.forgetBeliefs();
+  Upstreams_.resetHealth();
   Peers_.clear();
   SuspectHomes_.clear();
   NextSelectAt_ = {};
@@ -167,7 +167,7 @@
     for (std::size_t Index : eligible(*Declaration_, Declaration_->Services_[I],
                                       Options_.Zones_, Now_.Wall_))
       S.Selected_.push_back(
-          Upstreams_.byId(Declaration_->Upstreams_[Index].Id_));
+          Upstreams_.findById(Declaration_->Upstreams_[Index].Id_));
   }
 }
 
@@ -178,7 +178,7 @@
   if (Declaration_ && MinuteOver)
     select();
   reviewPeers();
-  Upstreams_.review(Now_.Mono_);
+  Upstreams_.expireEjections(Now_.Mono_);
   expirePasses();
   expireRequests();
   expireFlows();
@@ -207,7 +207,7 @@
   Requests_.expire(requestTick(Now_.Mono_), [this](RequestRow &Row) {
     if (Row.Done_)
       return;
-    Upstreams_.failed(Row.Upstream_, Now_.Mono_, draw());
+    Upstreams_.recordFailure(Row.Upstream_, Now_.Mono_, draw());
     if (Row.Key_.Number_ == 0) {
       retryOpen(Row, ErrorKind::NoAnswer);
       return;
--- a/src/cold-admission.cc
+++ b/src/cold-admission.cc
@@ -22,11 +22,11 @@
 
 } // namespace
 
-ColdParts coldParts(const ColdLimit &Limit) {
-  double Whole = std::min(Limit.PerSecond_, Limit.most() / Believing);
+ColdQuota coldQuota(const ColdLimit &Limit) {
+  double Whole = std::min(Limit.PerSecond_, Limit.burstLimit() / Believing);
   // The flows that one owner may have in a second are a whole number.
   double Owners = std::max(1.0, std::round(Whole / FlowsOfOwner));
-  double Flows = std::floor(Limit.most() / Believing / Owners);
+  double Flows = std::floor(Limit.burstLimit() / Believing / Owners);
   if (Flows < 1)
     return {};
   double Rate = std::min(Whole / Owners, Flows);
@@ -38,46 +38,47 @@
   if (View == View_)
     return;
   View_ = std::move(View);
-  ++ViewNumber_;
+  ++ViewGeneration_;
 }
 
 bool ColdAdmission::admits(MonoTime Now, Incarnation Upstream,
                            const ColdLimit &Limit) {
-  ColdParts Parts = coldParts(Limit);
+  ColdQuota Parts = coldQuota(Limit);
   if (Parts.Owners_ == 0 || !View_.Settled_)
     return false;
   Part &P = Parts_[raw(Upstream)];
   if (Now < P.NextAt_)
     return false;
-  if (P.View_ != ViewNumber_) {
-    P.View_ = ViewNumber_;
+  if (P.View_ != ViewGeneration_) {
+    P.View_ = ViewGeneration_;
     P.Owns_ = owns(Upstream, Parts.Owners_);
   }
   return P.Owns_;
 }
 
-void ColdAdmission::opened(MonoTime Now, Incarnation Upstream,
-                           const ColdLimit &Limit) {
-  Parts_[raw(Upstream)].NextAt_ = Now + coldParts(Limit).Every_;
+void ColdAdmission::recordOpening(MonoTime Now, Incarnation Upstream,
+                                  const ColdLimit &Limit) {
+  Parts_[raw(Upstream)].NextAt_ = Now + coldQuota(Limit).MinInterval_;
 }
 
 bool ColdAdmission::owns(Incarnation Upstream, std::size_t Owners) const {
-  std::uint64_t Own = hashPair(View_.Self_, raw(Upstream));
-  auto Before = std::count_if(View_.Others_.begin(), View_.Others_.end(),
-                              [&](std::uint64_t Other) {
-                                return hashPair(Other, raw(Upstream)) < Own;
-                              });
+  std::uint64_t Own = hashPair(View_.SelfHash_, raw(Upstream));
+  auto Before =
+      std::count_if(View_.PeerHashes_.begin(), View_.PeerHashes_.end(),
+                    [&](std::uint64_t Other) {
+                      return hashPair(Other, raw(Upstream)) < Own;
+                    });
   bool AmongKnown = static_cast<std::size_t>(Before) < Owners;
-  bool KnowsAll = View_.Balancers_ <= View_.Others_.size() + 1;
-  return AmongKnown && (KnowsAll || judgedBefore(Own) < Owners);
+  bool KnowsAll = View_.EstimatedSize_ <= View_.PeerHashes_.size() + 1;
+  return AmongKnown && (KnowsAll || estimatedRank(Own) < Owners);
 }
 
 /// How many balancers of the whole fleet come before one with this hash. Where
 /// most are not known, a place among the known alone makes owners of many.
-std::size_t ColdAdmission::judgedBefore(std::uint64_t Own) const {
+std::size_t ColdAdmission::estimatedRank(std::uint64_t Own) const {
   double Share = std::ldexp(static_cast<double>(Own), -64);
   return static_cast<std::size_t>(Share *
-                                  static_cast<double>(View_.Balancers_));
+                                  static_cast<double>(View_.EstimatedSize_));
 }
 
 } // namespace thymewall
--- a/src/news-message.cc
+++ b/src/news-message.cc
@@ -121,13 +121,13 @@
           Unchanged,
           detail::encodeChanges(Batch.Ended_, Now),
           toJson(M.Evacuations_),
-          toJson(Batch.Same_),
+          toJson(Batch.UnchangedParts_),
           toJson(M.Parts_)};
 }
 
 Json toJson(const UpstreamWarning &M, MonoTime) {
   return Json::array({raw(Type::Warning), raw(M.Upstream_), raw(M.Flow_),
-                      M.BornMs_, raw(M.Kind_)});
+                      M.StartTimeMs_, raw(M.Kind_)});
 }
 
 Member memberFrom(const Json &J) {
@@ -214,7 +214,7 @@
     Change.Ended_ = true;
   }
   M.Evacuations_ = evacuationsFrom(J.at(9));
-  M.Upstreams_.Same_ = partsFrom(J.at(10));
+  M.Upstreams_.UnchangedParts_ = partsFrom(J.at(10));
   M.Parts_ = partsFrom(J.at(11));
   return M;
 }
@@ -223,7 +223,7 @@
   UpstreamWarning M;
   M.Upstream_ = static_cast<Incarnation>(J.at(1).get<std::uint64_t>());
   M.Flow_ = static_cast<FlowId>(J.at(2).get<std::uint64_t>());
-  M.BornMs_ = J.at(3).get<std::uint64_t>();
+  M.StartTimeMs_ = J.at(3).get<std::uint64_t>();
   auto Kind = J.at(4).get<std::uint8_t>();
   if (Kind > raw(UpstreamWarning::Kind::Failing))
     throw std::invalid_argument("unknown kind of warning");
--- a/src/news.cc
+++ b/src/news.cc
@@ -145,11 +145,11 @@
     Answer.Routing_ = Routing_;
   Answer.Parts_ = M.Parts_ & partsHere();
   if (M.Parts_.any())
-    Answer.Upstreams_ = List_.parts(M.Parts_);
+    Answer.Upstreams_ = List_.entriesIn(M.Parts_);
   else if (M.Digests_)
-    Answer.Upstreams_ = List_.sinceDigests(*M.Digests_);
+    Answer.Upstreams_ = List_.diffByDigests(*M.Digests_);
   else
-    Answer.Upstreams_ = List_.since(M.Through_);
+    Answer.Upstreams_ = List_.changesSince(M.Through_);
   Answer.Evacuations_ = Evacuations_.all();
   if (M.Ended_)
     Answer.Upstreams_.Ended_ = List_.ended();
@@ -260,10 +260,10 @@
 
 FleetView NewsExchange::Impl::fleetView(MonoTime Now) const {
   FleetView View;
-  View.Self_ = Score_;
+  View.SelfHash_ = Score_;
   for (const Member &M : Members_.all())
-    View.Others_.push_back(detail::readScore(M.Name_));
-  View.Balancers_ = fleetSize();
+    View.PeerHashes_.push_back(detail::readScore(M.Name_));
+  View.EstimatedSize_ = fleetSize();
   View.Settled_ = !Leaving_ && Now - PresentSince_ >= ArrivedWithin;
   return View;
 }
--- a/src/packet-balancer-evidence.cc
+++ b/src/packet-balancer-evidence.cc
@@ -36,9 +36,10 @@
 /// Right answers may be short once in a while: one is never enough.
 constexpr std::size_t ShortToFail = 2;
 /// The first verdict takes this share of the answers that an upstream gives in
-/// `SilenceEvidence::CountsFor`. One that turns callers away because its queue
-/// is full still serves most; put aside for that, it leaves its load to others,
-/// whose queues fill in turn (twice the usual load, worth .981 to .973).
+/// `FailureEvidence::CountingWindow`. One that turns callers away because its
+/// queue is full still serves most; put aside for that, it leaves its load to
+/// others, whose queues fill in turn (twice the usual load, worth .981 to
+/// .973).
 constexpr double FailingShare = 0.12;
 /// Full queues give each upstream a short answer now and then: this share of
 /// them may be put aside by chance. A fortieth of a service, as for silence,
@@ -60,7 +61,7 @@
   bool Before = Upstreams_[Index].EjectedUntil_ > Now_;
   // Flows differ enough from balancer to balancer to spread the returns.
   double Jitter = static_cast<double>(raw(Upstreams_[Index].Id_) % 1000) / 1000;
-  Upstreams_.failed(Index, Now_, Jitter);
+  Upstreams_.recordFailure(Index, Now_, Jitter);
   if (!Before && Upstreams_[Index].EjectedUntil_ > Now_)
     believe(Belief::Kind::Ejected, Index);
 }
@@ -99,7 +100,7 @@
       Upstreams_[Index].Dead_)
     return;
   Detail &D = Details_[Index];
-  if (M.BornMs_ != D.BornMs_)
+  if (M.StartTimeMs_ != D.BornMs_)
     return; // of another start
   if (M.Kind_ == UpstreamWarning::Kind::Dead)
     D.CheckWanted_ = true;
@@ -122,7 +123,7 @@
   bool Known =
       std::any_of(Waiting.begin(), Waiting.end(),
                   [Flow](const WaitingRequest &R) { return R.Flow_ == Flow; });
-  if (!Known && Waiting.size() < SilenceEvidence::Kept)
+  if (!Known && Waiting.size() < FailureEvidence::MaxRequests)
     Waiting.push_back({Flow, Now_});
 }
 
@@ -178,7 +179,7 @@
   if (SeenHere)
     warn(Index, UpstreamWarning::Kind::Stalled, Flow);
   std::size_t Needed = neededAgainst(Index, SeenHere);
-  std::size_t Unanswered = Evidence_.against(Now_, Index);
+  std::size_t Unanswered = Evidence_.count(Now_, Index);
   if (Unanswered >= Needed)
     putAside(Index, Belief::Kind::Stalled, Details_[Index].Stalls_, Unanswered,
              Needed);
@@ -193,7 +194,7 @@
   auto Of = Services_.find(raw(Details_[Index].Service_));
   if (Settled || Of == Services_.end() || !has(Mechanism::CommonSilence))
     return 1;
-  std::size_t Needed = Evidence_.needed(Now_, Index, Of->second.Members_);
+  std::size_t Needed = Evidence_.threshold(Now_, Index, Of->second.Members_);
   return SeenHere ? Needed : std::max(Needed, NeededOfPeers);
 }
 
@@ -225,18 +226,18 @@
   if (Of == Services_.end())
     return;
   std::size_t Chance =
-      ShortAnswers_.needed(Now_, Index, Of->second.Members_, FalselyFailing);
+      ShortAnswers_.threshold(Now_, Index, Of->second.Members_, FalselyFailing);
   std::size_t Needed = std::max(Chance, ShortToFail);
   if (D.Failings_ == 0)
     Needed = std::max(Needed, static_cast<std::size_t>(std::ceil(
                                   FailingShare * usualAnswers(Of->second))));
-  std::size_t Evidence = ShortAnswers_.against(Now_, Index);
+  std::size_t Evidence = ShortAnswers_.count(Now_, Index);
   if (Evidence >= Needed)
     putAside(Index, Belief::Kind::Failing, D.Failings_, Evidence, Needed);
 }
 
 /// How many answers the whole fleet has of one upstream of a service in
-/// `SilenceEvidence::CountsFor`, judged by those that pass here.
+/// `FailureEvidence::CountingWindow`, judged by those that pass here.
 double PacketBalancer::Impl::usualAnswers(const ServiceState &Of) const {
   std::size_t Upstreams = std::max<std::size_t>(Of.Eligible_.size(), 1);
   return static_cast<double>(Of.RecentAnswers_.count() * FleetSize_) /
@@ -256,7 +257,7 @@
   // upstream that still hangs costs as many requests as at first. Gain: 2,028
   // lost requests in place of 2,210 where a fifth of 480 hangs for 7 s, twice.
   if (has(Mechanism::GradualReturn))
-    Upstreams_.warmFrom(Index, Upstreams_[Index].EjectedUntil_);
+    Upstreams_.beginSlowStart(Index, Upstreams_[Index].EjectedUntil_);
   if (Options_.OnBelief_)
     Options_.OnBelief_({Why, Upstreams_[Index].Incarnation_,
                         Upstreams_[Index].At_, D.Revision_, Evidence, Needed});
@@ -300,7 +301,7 @@
 
 /// After a late wake; what has ended stays so.
 void PacketBalancer::Impl::forgetBeliefs() {
-  Upstreams_.forgetBeliefs();
+  Upstreams_.resetHealth();
   Evidence_.clearAll();
   ShortAnswers_.clearAll();
   for (std::uint32_t Index = 0; Index < Details_.size(); ++Index) {
--- a/src/packet-balancer-flows.cc
+++ b/src/packet-balancer-flows.cc
@@ -97,7 +97,7 @@
     check(Index);
   if (!Row->Open_) {
     Row->Open_ = true;
-    Upstreams_.succeeded(Index);
+    Upstreams_.recordSuccess(Index);
     measure(*Row, DelayClass::Open);
     Row->Since_ = Now_; // its request comes right behind
   } else if (Progress) {
--- a/src/packet-balancer-impl.h
+++ b/src/packet-balancer-impl.h
@@ -63,8 +63,8 @@
                  double ColdSlack) {
     Options_.ResetWhenKnown_ = ResetWhenKnown;
     Options_.FlowLimit_ = FlowLimit;
-    Options_.Cold_.Over_ = ColdOver;
-    Options_.Cold_.Slack_ = ColdSlack;
+    Options_.Cold_.BurstFactor_ = ColdOver;
+    Options_.Cold_.BurstAllowance_ = ColdSlack;
   }
   bool ready() const { return Routing_ && ListKnown_; }
   const PacketCounters &counters() const { return Counters_; }
@@ -106,7 +106,7 @@
   /// The upstreams of a service and those among them that take new flows.
   struct ServiceState {
     std::vector<std::uint32_t> Members_;
-    Eligible Eligible_;
+    EligibleSet Eligible_;
     /// Those that only the owners of their limit may choose, and when the first
     /// of them is warm.
     std::vector<std::uint32_t> Cold_;
@@ -126,7 +126,7 @@
                       std::uint32_t Index);
   std::uint32_t choose(ServiceId Service, FlowId Flow, std::uint32_t Copy,
                        std::uint32_t Avoid);
-  const Eligible &eligible(ServiceId Service, ServiceState &State);
+  const EligibleSet &eligible(ServiceId Service, ServiceState &State);
   void partCold(ServiceState &State, const ColdLimit &Limit);
   std::uint32_t chooseCold(const ServiceState &State, FlowId Flow,
                            const ColdLimit &Limit, std::uint32_t Avoid);
@@ -205,8 +205,8 @@
   bool ListKnown_ = false;
   bool InBulk_ = false; ///< Too many changes are told to name each.
   bool Serving_ = true;
-  SilenceEvidence Evidence_;
-  SilenceEvidence ShortAnswers_;
+  FailureEvidence Evidence_;
+  FailureEvidence ShortAnswers_;
   AnswerSizes Sizes_;
   std::size_t FleetSize_ = 1;
   detail::ObservedDelay Openings_; ///< From opening to acknowledged answer.
--- a/src/packet-balancer-upstreams.cc
+++ b/src/packet-balancer-upstreams.cc
@@ -36,7 +36,7 @@
   bool Fresh = Known == IndexOfCookie_.end();
   if (!Fresh)
     leaveAddress(Known->second);
-  std::uint32_t Index = Upstreams_.declareOne(
+  std::uint32_t Index = Upstreams_.addOrUpdate(
       static_cast<UpstreamId>(Mark), Entry.At_, Entry.Slots_, Entry.WarmAt_);
   if (Details_.size() <= Index)
     Details_.resize(Index + 1);
@@ -45,8 +45,8 @@
   Upstreams_.setLeaving(static_cast<UpstreamId>(Mark), Entry.Draining_);
   joinService(Index, Entry.Service_);
   Detail &D = Details_[Index];
-  bool Restarted = !Fresh && D.BornMs_ != Entry.BornMs_;
-  D.BornMs_ = Entry.BornMs_;
+  bool Restarted = !Fresh && D.BornMs_ != Entry.StartTimeMs_;
+  D.BornMs_ = Entry.StartTimeMs_;
   if (Restarted)
     restart(Index);
   bool NewlyDraining = Entry.Draining_ && !D.Draining_;
@@ -54,7 +54,7 @@
   D.DataHall_ = Entry.DataHall_;
   Upstreams_.setEvacuated(Index, EvacuatedHalls_.count(D.DataHall_) != 0);
   D.ColdUntil_ = Entry.WarmAt_;
-  D.Revision_ = Change.At_;
+  D.Revision_ = Change.Revision_;
   D.Draining_ = Entry.Draining_;
   D.Lapsed_ = false;
   D.Gone_ = false;
@@ -114,7 +114,7 @@
   });
   for (FlowId Flow : Earlier)
     endFlow(*Flows_.find(Flow));
-  Upstreams_.forgetBeliefs(Index);
+  Upstreams_.resetHealth(Index);
   Evidence_.clear(Index);
   ShortAnswers_.clear(Index);
   Cold_.forget(Upstreams_[Index].Incarnation_);
@@ -150,7 +150,7 @@
   if (Index == UpstreamTable::None || Details_[Index].Gone_)
     return;
   Detail &D = Details_[Index];
-  D.Revision_ = Change.At_;
+  D.Revision_ = Change.Revision_;
   if (!MayReturn)
     return setGone(Index);
   D.Lapsed_ = true;
--- a/src/packet-balancer.cc
+++ b/src/packet-balancer.cc
@@ -141,7 +141,7 @@
   auto Known = Services_.find(raw(Service));
   if (Known == Services_.end())
     return UpstreamTable::None;
-  const Eligible &Among = eligible(Service, Known->second);
+  const EligibleSet &Among = eligible(Service, Known->second);
   FlowId Drawn = Flow;
   if (Copy > 0)
     Drawn = static_cast<FlowId>(hashPair(raw(Flow), CopyDraw + Copy));
@@ -149,18 +149,18 @@
       chooseCold(Known->second, Drawn, coldLimit(Service), Avoid);
   if (Cold != UpstreamTable::None || Among.empty())
     return Cold;
-  Choice C{{Service, Drawn}, Among, Upstreams_.rows(), Now_};
+  ChooserInput C{{Service, Drawn}, Among, Upstreams_.rows(), Now_};
   std::uint32_t Index = Among.Indexes_[Options_.Chooser_(C)];
   if (Index != Avoid)
     return Index;
-  auto [First, Second] = candidates(C);
+  auto [First, Second] = drawCandidates(C);
   std::size_t Other = Among.Indexes_[First] == Avoid ? Second : First;
   return Among.Indexes_[Other];
 }
 
-const Eligible &PacketBalancer::Impl::eligible(ServiceId Service,
-                                               ServiceState &State) {
-  Upstreams_.review(Now_);
+const EligibleSet &PacketBalancer::Impl::eligible(ServiceId Service,
+                                                  ServiceState &State) {
+  Upstreams_.expireEjections(Now_);
   bool Current = State.Generation_ == Upstreams_.generation() &&
                  State.Routing_ == Routing_->Version_ && Now_ < State.WarmAt_;
   if (Current)
@@ -169,7 +169,7 @@
   for (std::uint32_t Index : State.Members_)
     if (Upstreams_[Index].Declared_)
       Selected.push_back(Index);
-  Upstreams_.eligibleNow(Selected, Now_, State.Eligible_);
+  Upstreams_.selectEligible(Selected, Now_, State.Eligible_);
   partCold(State, coldLimit(Service));
   State.Generation_ = Upstreams_.generation();
   State.Routing_ = Routing_->Version_;
@@ -189,9 +189,9 @@
                                     const ColdLimit &Limit) {
   State.Cold_.clear();
   State.WarmAt_ = MonoTime::max();
-  if (!Limit.given())
+  if (!Limit.isSet())
     return;
-  Eligible Warm;
+  EligibleSet Warm;
   for (std::uint32_t Index : State.Eligible_.Indexes_) {
     MonoTime ColdUntil = Details_[Index].ColdUntil_;
     if (ColdUntil <= Now_) {
@@ -217,7 +217,7 @@
     Incarnation Which = Upstreams_[Index].Incarnation_;
     if (Index == Avoid || !Cold_.admits(Now_, Which, Limit))
       continue;
-    Cold_.opened(Now_, Which, Limit);
+    Cold_.recordOpening(Now_, Which, Limit);
     return Index;
   }
   return UpstreamTable::None;
@@ -386,8 +386,8 @@
 }
 PacketBalancerBuilder &PacketBalancerBuilder::coldOver(double Times,
                                                        double Slack) {
-  Options_.Cold_.Over_ = Times;
-  Options_.Cold_.Slack_ = Slack;
+  Options_.Cold_.BurstFactor_ = Times;
+  Options_.Cold_.BurstAllowance_ = Slack;
   return *this;
 }
 PacketBalancer PacketBalancerBuilder::build() const {
--- a/src/packet-process-impl.h
+++ b/src/packet-process-impl.h
@@ -87,7 +87,7 @@
   PacketBalancer Core_;
   HeldPackets Held_; ///< Until the core is ready or upstreams are published.
   OpeningRetries Openings_;
-  PathWitness Path_;
+  PeerProbes Path_;
   UpstreamChecker Checker_;
   IntentReader Reader_;
   IntentCaller Call_;
--- a/src/packet-process-news.cc
+++ b/src/packet-process-news.cc
@@ -70,16 +70,16 @@
 /// A ping carries the time of its question, which only this process reads.
 MonoTime PacketProcess::Impl::askPeers() {
   MonoTime Now = monoNow();
-  if (Path_.wantsQuestion(Now))
+  if (Path_.shouldProbe(Now))
     Links_.pingAll(std::to_string(Now.time_since_epoch().count()));
-  return Path_.askedAt();
+  return Path_.lastProbeAt();
 }
 
 void PacketProcess::Impl::onPong(const std::string &Bytes) {
   Micros::rep AskedAt = 0;
   const char *End = Bytes.data() + Bytes.size();
   if (std::from_chars(Bytes.data(), End, AskedAt).ec == std::errc())
-    Path_.answered(MonoTime(Micros(AskedAt)), monoNow());
+    Path_.recordAnswer(MonoTime(Micros(AskedAt)), monoNow());
 }
 
 void PacketProcess::Impl::onPeerMessage(LinkId Link, const std::string &Bytes) {
--- a/src/path-witness.h
+++ b/src/path-witness.h
@@ -18,61 +18,61 @@
 namespace thymewall::detail {
 
 /// Whether questions to peers are answered in time.
-class PathWitness {
+class PeerProbes {
 public:
   /// Half of the time that an upstream has, so that its answer would have come
   /// too, had it been sent a little later.
-  static constexpr Micros AnswerWithin = std::chrono::milliseconds(40);
+  static constexpr Micros AnswerTimeout = std::chrono::milliseconds(40);
   /// Tries that begin together share one question: 40 upstreams are checked in
   /// one moment when a third of a service dies.
-  static constexpr Micros AskEvery = std::chrono::milliseconds(10);
+  static constexpr Micros MinProbeInterval = std::chrono::milliseconds(10);
 
-  /// True when peers are to be asked now. `askedAt` is the question that
+  /// True when peers are to be asked now. `lastProbeAt` is the question that
   /// stands for a try that begins at \p Now.
-  bool wantsQuestion(MonoTime Now) {
-    if (Now - AskedAt_ < AskEvery)
+  bool shouldProbe(MonoTime Now) {
+    if (Now - ProbedAt_ < MinProbeInterval)
       return false;
-    AskedAt_ = Now;
+    ProbedAt_ = Now;
     return true;
   }
-  MonoTime askedAt() const { return AskedAt_; }
-  /// A peer has answered the question of \p AskedAt.
-  void answered(MonoTime AskedAt, MonoTime Now) {
-    if (Now - AskedAt <= AnswerWithin)
-      AnsweredFrom_ = std::max(AnsweredFrom_, AskedAt);
+  MonoTime lastProbeAt() const { return ProbedAt_; }
+  /// A peer has answered the question of \p ProbedAt.
+  void recordAnswer(MonoTime ProbedAt, MonoTime Now) {
+    if (Now - ProbedAt <= AnswerTimeout)
+      LatestAnswered_ = std::max(LatestAnswered_, ProbedAt);
   }
-  /// The question of \p AskedAt, or a later one, was answered in time.
-  bool answeredSince(MonoTime AskedAt) const {
-    return AnsweredFrom_ >= AskedAt;
+  /// The question of \p ProbedAt, or a later one, was answered in time.
+  bool answeredSince(MonoTime ProbedAt) const {
+    return LatestAnswered_ >= ProbedAt;
   }
 
 private:
-  MonoTime AskedAt_{};
-  MonoTime AnsweredFrom_{};
+  MonoTime ProbedAt_{};
+  MonoTime LatestAnswered_{};
 };
 
 /// The tries of one check.
-class CheckTries {
+class CheckAttempts {
 public:
   /// One lost packet proves nothing.
-  static constexpr int SilentToProve = 2;
+  static constexpr int TimeoutsToProve = 2;
   /// A link that is full for longer than these take leaves a check unclear.
-  static constexpr int MostTries = 4;
+  static constexpr int MaxAttempts = 4;
 
   enum class Next : std::uint8_t { TryAgain, Dead, Unclear };
 
-  /// A try met silence; \p Witnessed: the path worked meanwhile.
-  Next silent(bool Witnessed) {
-    ++Tries_;
-    Proving_ += Witnessed ? 1 : 0;
-    if (Proving_ == SilentToProve)
+  /// A try met silence; \p PathWorked: the path worked meanwhile.
+  Next recordTimeout(bool PathWorked) {
+    ++Timeouts_;
+    ProvenTimeouts_ += PathWorked ? 1 : 0;
+    if (ProvenTimeouts_ == TimeoutsToProve)
       return Next::Dead;
-    return Tries_ == MostTries ? Next::Unclear : Next::TryAgain;
+    return Timeouts_ == MaxAttempts ? Next::Unclear : Next::TryAgain;
   }
 
 private:
-  int Tries_ = 0;
-  int Proving_ = 0;
+  int Timeouts_ = 0;
+  int ProvenTimeouts_ = 0;
 };
 
 } // namespace thymewall::detail
--- a/src/status-page.cc
+++ b/src/status-page.cc
@@ -60,7 +60,7 @@
                          {"declared", U.Declared_},
                          {"leaving", U.Leaving_},
                          {"ejected", U.EjectedUntil_ > R.Status_.Now_},
-                         {"failures", U.Failures_}});
+                         {"failures", U.ConsecutiveFailures_}});
   Json Numbers = Json::object();
   for (const Number &N : numbers(R))
     Numbers[N.first] = N.second;
--- a/src/upstream-checker.cc
+++ b/src/upstream-checker.cc
@@ -56,12 +56,12 @@
     if (std::chrono::steady_clock::now() - EndAt_ > LateBy)
       return finish(CheckResult::Unclear);
     close();
-    switch (Tries_.silent(Hooks_->PeersAnswered_(AskedAt_))) {
-    case CheckTries::Next::TryAgain:
+    switch (Tries_.recordTimeout(Hooks_->PeersAnswered_(AskedAt_))) {
+    case CheckAttempts::Next::TryAgain:
       return attempt();
-    case CheckTries::Next::Dead:
+    case CheckAttempts::Next::Dead:
       return finish(CheckResult::Dead);
-    case CheckTries::Next::Unclear:
+    case CheckAttempts::Next::Unclear:
       return finish(CheckResult::Unclear);
     }
   }
@@ -82,7 +82,7 @@
   asio::steady_timer Timer_;
   UpstreamCheck Wanted_;
   std::shared_ptr<const CheckerHooks> Hooks_;
-  CheckTries Tries_;
+  CheckAttempts Tries_;
   MonoTime AskedAt_{};
   SteadyTime Began_;
   SteadyTime EndAt_{};
--- a/src/upstream-codec.cc
+++ b/src/upstream-codec.cc
@@ -61,19 +61,19 @@
 
 Json encodeChange(const UpstreamChange &Change, MonoTime Now, Shared &Names) {
   if (!Change.Entry_)
-    return Json::array({raw(Change.Incarnation_), Change.At_});
+    return Json::array({raw(Change.Incarnation_), Change.Revision_});
   const UpstreamEntry &E = *Change.Entry_;
-  return Json::array({raw(Change.Incarnation_), Change.At_,
+  return Json::array({raw(Change.Incarnation_), Change.Revision_,
                       placeOf(raw(E.Service_), Names.Services_),
                       encodeAddress(E.At_), placeOf(E.DataHall_, Names.Halls_),
                       E.Slots_, E.Draining_, millisLeft(E.WarmAt_, Now),
-                      E.BornMs_, E.Part_});
+                      E.StartTimeMs_, E.Part_});
 }
 
 UpstreamChange decodeChange(const Json &J, MonoTime Now, const Shared &Names) {
   UpstreamChange Change;
   Change.Incarnation_ = static_cast<Incarnation>(J.at(0).get<std::uint64_t>());
-  Change.At_ = J.at(1).get<Revision>();
+  Change.Revision_ = J.at(1).get<Revision>();
   if (J.size() == EndFields)
     return Change;
   if (J.size() != EntryFields)
@@ -87,7 +87,7 @@
   E.Slots_ = J.at(5).get<std::uint32_t>();
   E.Draining_ = J.at(6).get<bool>();
   E.WarmAt_ = Now + std::chrono::milliseconds(J.at(7).get<std::uint32_t>());
-  E.BornMs_ = J.at(8).get<std::uint64_t>();
+  E.StartTimeMs_ = J.at(8).get<std::uint64_t>();
   E.Part_ = J.at(9).get<std::uint8_t>();
   Change.Entry_ = E;
   return Change;
--- a/src/upstream-table.cc
+++ b/src/upstream-table.cc
@@ -14,11 +14,11 @@
 }
 
 /// A cold upstream takes a share of its candidates that grows to all of them.
-bool admitsWhileCold(const Choice &C, const UpstreamRow &Row) {
+bool admitsWhileCold(const ChooserInput &C, const UpstreamRow &Row) {
   if (C.Now_ >= Row.WarmAt_ || !detail::has(detail::Mechanism::ColdRamp))
     return true;
   auto Left = std::chrono::duration<double>(Row.WarmAt_ - C.Now_);
-  auto Whole = std::chrono::duration<double>(UpstreamTable::ColdStart);
+  auto Whole = std::chrono::duration<double>(UpstreamTable::SlowStartDuration);
   double Share = 1 - Left / Whole;
   std::uint64_t Draw = hashPair(raw(C.Flow_.Flow_), ~std::uint64_t{0});
   return unit(Draw) <= std::max(Share, 0.1);
@@ -31,14 +31,14 @@
   return Stays && !Evacuated;
 }
 
-const UpstreamRow &rowOf(const Choice &C, std::size_t Index) {
+const UpstreamRow &rowOf(const ChooserInput &C, std::size_t Index) {
   return C.Rows_[C.Eligible_.Indexes_[Index]];
 }
 
 /// The less loaded of two candidates, by a load given as a number.
 template <typename Function>
-std::size_t chooseTwo(const Choice &C, Function Load) {
-  auto [First, Second] = candidates(C);
+std::size_t chooseTwo(const ChooserInput &C, Function Load) {
+  auto [First, Second] = drawCandidates(C);
   const UpstreamRow &A = rowOf(C, First);
   const UpstreamRow &B = rowOf(C, Second);
   bool ColdA = !admitsWhileCold(C, A);
@@ -54,19 +54,19 @@
 
 } // namespace
 
-void Eligible::clear() {
+void EligibleSet::clear() {
   Indexes_.clear();
-  SlotsUpTo_.clear();
+  CumulativeSlots_.clear();
 }
 
-void Eligible::add(std::uint32_t Index, std::uint32_t Slots) {
-  std::uint64_t Before = SlotsUpTo_.empty() ? 0 : SlotsUpTo_.back();
+void EligibleSet::add(std::uint32_t Index, std::uint32_t Slots) {
+  std::uint64_t Before = CumulativeSlots_.empty() ? 0 : CumulativeSlots_.back();
   Indexes_.push_back(Index);
-  SlotsUpTo_.push_back(Before + Slots);
+  CumulativeSlots_.push_back(Before + Slots);
 }
 
-std::pair<std::size_t, std::size_t> candidates(const Choice &C) {
-  const std::vector<std::uint64_t> &UpTo = C.Eligible_.SlotsUpTo_;
+std::pair<std::size_t, std::size_t> drawCandidates(const ChooserInput &C) {
+  const std::vector<std::uint64_t> &UpTo = C.Eligible_.CumulativeSlots_;
   auto At = [&](std::uint64_t Slot) {
     return static_cast<std::size_t>(
         std::upper_bound(UpTo.begin(), UpTo.end(), Slot) - UpTo.begin());
@@ -82,13 +82,15 @@
   return {First, At(Slot < Begin ? Slot : Slot + Width)};
 }
 
-std::size_t choosePlainHash(const Choice &C) { return candidates(C).first; }
+std::size_t chooseByHash(const ChooserInput &C) {
+  return drawCandidates(C).first;
+}
 
-std::size_t chooseTwoOwn(const Choice &C) {
+std::size_t chooseByOwnFlows(const ChooserInput &C) {
   return chooseTwo(C, [](const UpstreamRow &R) { return R.OwnFlows_; });
 }
 
-std::size_t chooseTwoInProgress(const Choice &C) {
+std::size_t chooseByInProgress(const ChooserInput &C) {
   // Flows only break ties: no balancer holds this many for one upstream.
   constexpr std::uint64_t Request = 1 << 20;
   return chooseTwo(C, [](const UpstreamRow &R) {
@@ -96,7 +98,7 @@
   });
 }
 
-std::size_t chooseTwoReported(const Choice &C) {
+std::size_t chooseByReportedFlows(const ChooserInput &C) {
   return chooseTwo(C, [](const UpstreamRow &R) { return R.ReportedFlows_; });
 }
 
@@ -104,22 +106,22 @@
   for (UpstreamRow &Row : Rows_)
     Row.Declared_ = false;
   for (const Upstream &U : D.Upstreams_) {
-    std::uint32_t Known = byId(U.Id_);
-    MonoTime WarmAt = Started_ ? Now + ColdStart : Now;
+    std::uint32_t Known = findById(U.Id_);
+    MonoTime WarmAt = HasDeclaration_ ? Now + SlowStartDuration : Now;
     if (Known != None)
       WarmAt = Rows_[Known].WarmAt_;
-    std::uint32_t Index = declareOne(U.Id_, U.At_, U.Slots_, WarmAt);
-    Rows_[Index].Remembers_ = U.RemembersRequests_;
+    std::uint32_t Index = addOrUpdate(U.Id_, U.At_, U.Slots_, WarmAt);
+    Rows_[Index].RemembersRequests_ = U.RemembersRequests_;
   }
-  Started_ = true;
+  HasDeclaration_ = true;
   ++Generation_;
 }
 
-std::uint32_t UpstreamTable::declareOne(UpstreamId Id, const Endpoint &At,
-                                        std::uint32_t Slots, MonoTime WarmAt) {
-  std::uint32_t Index = byId(Id);
+std::uint32_t UpstreamTable::addOrUpdate(UpstreamId Id, const Endpoint &At,
+                                         std::uint32_t Slots, MonoTime WarmAt) {
+  std::uint32_t Index = findById(Id);
   if (Index == None)
-    Index = addRow(Id);
+    Index = allocateRow(Id);
   UpstreamRow &Row = Rows_[Index];
   Row.Declared_ = true;
   Row.At_ = At;
@@ -130,13 +132,13 @@
   return Index;
 }
 
-std::uint32_t UpstreamTable::addRow(UpstreamId Id) {
+std::uint32_t UpstreamTable::allocateRow(UpstreamId Id) {
   auto Index = static_cast<std::uint32_t>(Rows_.size());
-  if (Released_.empty()) {
+  if (FreeIndexes_.empty()) {
     Rows_.emplace_back();
   } else {
-    Index = Released_.back();
-    Released_.pop_back();
+    Index = FreeIndexes_.back();
+    FreeIndexes_.pop_back();
   }
   Rows_[Index].Id_ = Id;
   ById_[raw(Id)] = Index;
@@ -155,65 +157,68 @@
   if (AtAddress != ByEndpoint_.end() && AtAddress->second == Index)
     ByEndpoint_.erase(AtAddress);
   Row = UpstreamRow{};
-  Released_.push_back(Index);
+  FreeIndexes_.push_back(Index);
   ++Generation_;
 }
 
 void UpstreamTable::setLeaving(UpstreamId Id, bool Leaving) {
-  std::uint32_t Index = byId(Id);
+  std::uint32_t Index = findById(Id);
   if (Index == None || Rows_[Index].Leaving_ == Leaving)
     return;
   Rows_[Index].Leaving_ = Leaving;
   ++Generation_;
 }
 
-std::uint32_t UpstreamTable::adopt(UpstreamId Id, const Endpoint &At) {
-  std::uint32_t Index = addRow(Id);
+std::uint32_t UpstreamTable::addUndeclared(UpstreamId Id, const Endpoint &At) {
+  std::uint32_t Index = allocateRow(Id);
   Rows_[Index].At_ = At;
   ByEndpoint_.try_emplace(At, Index);
   return Index;
 }
 
-void UpstreamTable::seen(std::uint32_t Index, Incarnation Seen, MonoTime Now) {
+void UpstreamTable::recordIncarnation(std::uint32_t Index, Incarnation Seen,
+                                      MonoTime Now) {
   UpstreamRow &Row = Rows_[Index];
   if (Row.Incarnation_ == Seen)
     return;
   if (Row.Incarnation_ != Incarnation{})
-    Row.WarmAt_ = Now + ColdStart;
+    Row.WarmAt_ = Now + SlowStartDuration;
   Row.Incarnation_ = Seen;
 }
 
-void UpstreamTable::succeeded(std::uint32_t Index) {
-  Rows_[Index].Failures_ = 0;
-  Rows_[Index].Ejections_ = 0;
+void UpstreamTable::recordSuccess(std::uint32_t Index) {
+  Rows_[Index].ConsecutiveFailures_ = 0;
+  Rows_[Index].ConsecutiveEjections_ = 0;
 }
 
-void UpstreamTable::failed(std::uint32_t Index, MonoTime Now, double Jitter) {
+void UpstreamTable::recordFailure(std::uint32_t Index, MonoTime Now,
+                                  double Jitter) {
   UpstreamRow &Row = Rows_[Index];
-  if (++Row.Failures_ < FailuresInARow_)
+  if (++Row.ConsecutiveFailures_ < FailureThreshold_)
     return;
   // What fails while it is ejected was sent before: the same failure, unless
   // another reason ejected it.
   bool Ejected = Row.EjectedUntil_ > Now;
-  if (!Ejected || Row.Ejections_ == 0)
-    ++Row.Ejections_;
-  std::uint32_t Times =
-      std::min(LongestEjection, 1U << std::min(Row.Ejections_ - 1, 8U));
-  auto Spread =
-      std::chrono::duration_cast<Micros>(Ejection * (0.5 + Jitter) * Times);
+  if (!Ejected || Row.ConsecutiveEjections_ == 0)
+    ++Row.ConsecutiveEjections_;
+  std::uint32_t Times = std::min(
+      MaxEjectionMultiplier, 1U << std::min(Row.ConsecutiveEjections_ - 1, 8U));
+  auto Spread = std::chrono::duration_cast<Micros>(BaseEjectionTime *
+                                                   (0.5 + Jitter) * Times);
   eject(Index, Now + Spread);
 }
 
 void UpstreamTable::eject(std::uint32_t Index, MonoTime Until) {
   UpstreamRow &Row = Rows_[Index];
   Row.EjectedUntil_ = std::max(Row.EjectedUntil_, Until);
-  Row.Failures_ = 0;
-  NextReturn_ = std::min(NextReturn_, Row.EjectedUntil_);
+  Row.ConsecutiveFailures_ = 0;
+  NextEjectionEnd_ = std::min(NextEjectionEnd_, Row.EjectedUntil_);
   ++Generation_;
 }
 
-void UpstreamTable::warmFrom(std::uint32_t Index, MonoTime Start) {
-  Rows_[Index].WarmAt_ = std::max(Rows_[Index].WarmAt_, Start + ColdStart);
+void UpstreamTable::beginSlowStart(std::uint32_t Index, MonoTime Start) {
+  Rows_[Index].WarmAt_ =
+      std::max(Rows_[Index].WarmAt_, Start + SlowStartDuration);
 }
 
 void UpstreamTable::setDead(std::uint32_t Index, bool Dead) {
@@ -230,32 +235,32 @@
   ++Generation_;
 }
 
-void UpstreamTable::forgetBeliefs() {
+void UpstreamTable::resetHealth() {
   for (std::uint32_t Index = 0; Index < Rows_.size(); ++Index)
-    forgetBeliefs(Index);
+    resetHealth(Index);
 }
 
-void UpstreamTable::forgetBeliefs(std::uint32_t Index) {
+void UpstreamTable::resetHealth(std::uint32_t Index) {
   UpstreamRow &Row = Rows_[Index];
   Row.Dead_ = false;
-  Row.Failures_ = 0;
-  Row.Ejections_ = 0;
+  Row.ConsecutiveFailures_ = 0;
+  Row.ConsecutiveEjections_ = 0;
   Row.EjectedUntil_ = {};
   ++Generation_;
 }
 
-void UpstreamTable::review(MonoTime Now) {
-  if (Now < NextReturn_)
+void UpstreamTable::expireEjections(MonoTime Now) {
+  if (Now < NextEjectionEnd_)
     return;
-  NextReturn_ = MonoTime::max();
+  NextEjectionEnd_ = MonoTime::max();
   for (const UpstreamRow &Row : Rows_)
     if (Row.EjectedUntil_ > Now)
-      NextReturn_ = std::min(NextReturn_, Row.EjectedUntil_);
+      NextEjectionEnd_ = std::min(NextEjectionEnd_, Row.EjectedUntil_);
   ++Generation_;
 }
 
-void UpstreamTable::eligibleNow(const std::vector<std::uint32_t> &Selected,
-                                MonoTime Now, Eligible &Into) const {
+void UpstreamTable::selectEligible(const std::vector<std::uint32_t> &Selected,
+                                   MonoTime Now, EligibleSet &Into) const {
   auto TakeIf = [&](auto Wanted) {
     Into.clear();
     for (std::uint32_t Index : Selected)
@@ -279,12 +284,12 @@
     TakeIf(Lives);
 }
 
-std::uint32_t UpstreamTable::byId(UpstreamId Id) const {
+std::uint32_t UpstreamTable::findById(UpstreamId Id) const {
   auto Known = ById_.find(raw(Id));
   return Known == ById_.end() ? None : Known->second;
 }
 
-std::uint32_t UpstreamTable::byEndpoint(const Endpoint &At) const {
+std::uint32_t UpstreamTable::findByEndpoint(const Endpoint &At) const {
   auto Known = ByEndpoint_.find(At);
   return Known == ByEndpoint_.end() ? None : Known->second;
 }
--- a/test/answer-evidence-test.cc
+++ b/test/answer-evidence-test.cc
@@ -135,7 +135,7 @@
 TEST_CASE("an answer of less than half of the shortest usual one is short") {
   AnswerSizes Known;
   std::mt19937_64 Random(3);
-  for (std::uint32_t I = 0; I < AnswerSizes::FewestKnown - 1; ++I)
+  for (std::uint32_t I = 0; I < AnswerSizes::MinSamples - 1; ++I)
     Known.isShort(Address, metadata(Random));
   CHECK_FALSE(Known.isShort(Address, ErrorBytes)); // too few are known
   for (std::uint32_t I = 0; I < 1000; ++I)
--- a/test/cold-admission-test.cc
+++ b/test/cold-admission-test.cc
@@ -13,9 +13,10 @@
 
 namespace {
 
-constexpr FleetBelief Beliefs[] = {
-    FleetBelief::Alike, FleetBelief::Halved,  FleetBelief::Apart,
-    FleetBelief::Added, FleetBelief::Partial, FleetBelief::Restarted};
+constexpr MembershipModel Beliefs[] = {
+    MembershipModel::Alike,   MembershipModel::Halved,
+    MembershipModel::Apart,   MembershipModel::Added,
+    MembershipModel::Partial, MembershipModel::Restarted};
 
 struct Upstreams {
   std::size_t Warm_;
@@ -61,7 +62,7 @@
     "balancers believe of each other") {
   for (std::size_t Balancers : {8U, 90U, 300U})
     for (double PerSecond : {2.0, 10.0, 50.0})
-      for (FleetBelief Which : Beliefs)
+      for (MembershipModel Which : Beliefs)
         for (const Upstreams &U : Loads) {
           CAPTURE(Balancers);
           CAPTURE(PerSecond);
@@ -69,24 +70,24 @@
           CAPTURE(U.Cold_);
           ColdScenario S{
               Balancers, U.Warm_, U.Cold_, {PerSecond, 1.5, 5}, Which};
-          CHECK(play(S, ColdWay::Owners, 4, 7).Fullest_ <= 1.0);
+          CHECK(play(S, AdmissionPolicy::Owners, 4, 7).PeakRatio_ <= 1.0);
         }
 }
 
 TEST_CASE(
     "parts stay within the limit, and nothing is given where not even one "
     "owner fits") {
-  CHECK(coldParts({2, 1.5, 5}).Owners_ == 1);
-  CHECK(coldParts({50, 1.5, 5}).Owners_ > 1);
-  CHECK(coldParts({1, 1, 0}).Owners_ == 0);
+  CHECK(coldQuota({2, 1.5, 5}).Owners_ == 1);
+  CHECK(coldQuota({50, 1.5, 5}).Owners_ > 1);
+  CHECK(coldQuota({1, 1, 0}).Owners_ == 0);
   for (double PerSecond = 0.5; PerSecond < 1000; PerSecond *= 1.3) {
     ColdLimit Limit{PerSecond, 1.5, 5};
-    ColdParts Parts = coldParts(Limit);
+    ColdQuota Parts = coldQuota(Limit);
     if (Parts.Owners_ == 0)
       continue;
     double Each =
-        std::floor(1e6 / static_cast<double>(Parts.Every_.count())) + 1;
-    CHECK(Each * static_cast<double>(Parts.Owners_) <= Limit.most());
+        std::floor(1e6 / static_cast<double>(Parts.MinInterval_.count())) + 1;
+    CHECK(Each * static_cast<double>(Parts.Owners_) <= Limit.burstLimit());
   }
 }
 
@@ -172,7 +173,7 @@
 
 TEST_CASE("owners stay few where each balancer has heard of few others") {
   const ColdLimit Limit{50, 1.5, 5};
-  std::size_t Wanted = coldParts(Limit).Owners_;
+  std::size_t Wanted = coldQuota(Limit).Owners_;
   for (std::size_t Fleet : {585U, 4000U}) {
     for (double Judged : {0.6, 1.0, 1.6}) { // of the true size
       CAPTURE(Fleet);
@@ -181,8 +182,8 @@
       for (std::size_t Which = 0; Which < Fleet; ++Which) {
         FleetView View{hashPair(Which, 1), {}, true};
         for (std::uint64_t I = 0; I < 45; ++I)
-          View.Others_.push_back(hashPair(hashPair(Which, I) % Fleet, 1));
-        View.Balancers_ =
+          View.PeerHashes_.push_back(hashPair(hashPair(Which, I) % Fleet, 1));
+        View.EstimatedSize_ =
             static_cast<std::size_t>(Judged * static_cast<double>(Fleet));
         ColdAdmission Cold;
         Cold.setFleet(View);
--- a/test/cold-fleet.cc
+++ b/test/cold-fleet.cc
@@ -31,12 +31,12 @@
 
 class Model {
 public:
-  Model(const ColdScenario &Scenario, ColdWay Way, std::uint64_t Seed)
+  Model(const ColdScenario &Scenario, AdmissionPolicy Way, std::uint64_t Seed)
       : S_(Scenario), Way_(Way), Random_(Seed), Fleet_(S_.Balancers_),
         Arrivals_(S_.Cold_) {
     for (std::size_t Which = 0; Which < Fleet_.size(); ++Which)
       start(Which,
-            S_.Belief_ == FleetBelief::Added && isNew(Which) ? -4 : -100);
+            S_.Belief_ == MembershipModel::Added && isNew(Which) ? -4 : -100);
   }
 
   ColdOutcome run(double For) {
@@ -46,7 +46,7 @@
     double NextRestart = 1;
     std::size_t Restarts = 0;
     for (Now_ = 0; Now_ < For; Now_ += Gap(Random_)) {
-      while (S_.Belief_ == FleetBelief::Restarted && Now_ > NextRestart) {
+      while (S_.Belief_ == MembershipModel::Restarted && Now_ > NextRestart) {
         if (Restarts < Fleet_.size() / 3)
           start(Restarts++, Now_);
         NextRestart += 0.02;
@@ -63,15 +63,15 @@
   bool hearsOf(std::size_t Which, std::size_t Other) {
     std::uniform_real_distribution<double> Draw(0, 1);
     switch (S_.Belief_) {
-    case FleetBelief::Alike:
-    case FleetBelief::Restarted:
-    case FleetBelief::Halved:
+    case MembershipModel::Alike:
+    case MembershipModel::Restarted:
+    case MembershipModel::Halved:
       return true;
-    case FleetBelief::Apart:
+    case MembershipModel::Apart:
       return isNew(Which) == isNew(Other);
-    case FleetBelief::Added:
+    case MembershipModel::Added:
       return isNew(Which) ? Draw(Random_) < 0.5 : !isNew(Other);
-    case FleetBelief::Partial:
+    case MembershipModel::Partial:
       return Draw(Random_) < 0.4;
     }
     return false;
@@ -83,11 +83,11 @@
     B.TokenAt_.assign(S_.Cold_, 0);
     B.PresentFrom_ = At;
     FleetView View;
-    View.Self_ = nameOfBalancer(Which);
+    View.SelfHash_ = nameOfBalancer(Which);
     for (std::size_t Other = 0; Other < Fleet_.size(); ++Other)
       if (Other != Which && hearsOf(Which, Other))
-        View.Others_.push_back(nameOfBalancer(Other));
-    B.Members_ = View.Others_.size() + 1;
+        View.PeerHashes_.push_back(nameOfBalancer(Other));
+    B.Members_ = View.PeerHashes_.size() + 1;
     View.Settled_ = true;
     Views_.resize(Fleet_.size());
     Views_[Which] = View;
@@ -98,15 +98,15 @@
     std::size_t All = S_.Warm_ + S_.Cold_;
     std::uniform_int_distribution<std::size_t> Any(0, All - 1);
     switch (Way_) {
-    case ColdWay::Ramp: {
+    case AdmissionPolicy::Ramp: {
       std::size_t One = Any(Random_);
       std::size_t Two = Any(Random_);
       bool Takes = One >= S_.Cold_ || ramp();
       return send(Which, Takes ? One : Two);
     }
-    case ColdWay::Bucket:
-    case ColdWay::Owners:
-    case ColdWay::Weight:
+    case AdmissionPolicy::Bucket:
+    case AdmissionPolicy::Owners:
+    case AdmissionPolicy::Weight:
       break;
     }
     std::size_t First = Any(Random_);
@@ -126,14 +126,14 @@
 
   bool admits(std::size_t Which, std::size_t Cold) {
     Balancer &B = Fleet_[Which];
-    if (Way_ == ColdWay::Bucket) {
+    if (Way_ == AdmissionPolicy::Bucket) {
       if (Now_ < B.TokenAt_[Cold])
         return false;
       B.TokenAt_[Cold] =
           Now_ + static_cast<double>(B.Members_) / S_.Limit_.PerSecond_;
       return true;
     }
-    if (Way_ == ColdWay::Weight) {
+    if (Way_ == AdmissionPolicy::Weight) {
       std::uniform_real_distribution<double> Draw(0, 1);
       double Whole = S_.FlowsPerBalancer_ * static_cast<double>(B.Members_);
       return Draw(Random_) < S_.Limit_.PerSecond_ / Whole;
@@ -143,7 +143,7 @@
     B.Owners_.setFleet(Views_[Which]);
     if (!B.Owners_.admits(At, coldUpstream(Cold), S_.Limit_))
       return false;
-    B.Owners_.opened(At, coldUpstream(Cold), S_.Limit_);
+    B.Owners_.recordOpening(At, coldUpstream(Cold), S_.Limit_);
     return true;
   }
 
@@ -165,7 +165,8 @@
         while (At[End] - At[Begin] > 1)
           ++Begin;
         double Count = static_cast<double>(End - Begin + 1);
-        Result.Fullest_ = std::max(Result.Fullest_, Count / S_.Limit_.most());
+        Result.PeakRatio_ =
+            std::max(Result.PeakRatio_, Count / S_.Limit_.burstLimit());
       }
     }
     double Bears = S_.Limit_.PerSecond_ * For * static_cast<double>(S_.Cold_);
@@ -176,7 +177,7 @@
   }
 
   ColdScenario S_;
-  ColdWay Way_;
+  AdmissionPolicy Way_;
   std::mt19937_64 Random_;
   std::vector<Balancer> Fleet_;
   std::vector<FleetView> Views_;
@@ -188,41 +189,41 @@
 
 } // namespace
 
-ColdOutcome play(const ColdScenario &Scenario, ColdWay Way, double For,
+ColdOutcome play(const ColdScenario &Scenario, AdmissionPolicy Way, double For,
                  std::uint64_t Seed) {
   ColdScenario S = Scenario;
-  if (S.Belief_ == FleetBelief::Halved)
+  if (S.Belief_ == MembershipModel::Halved)
     S.Balancers_ /= 2;
   return Model(S, Way, Seed).run(For);
 }
 
-std::string nameOf(ColdWay Way) {
+std::string nameOf(AdmissionPolicy Way) {
   switch (Way) {
-  case ColdWay::Ramp:
+  case AdmissionPolicy::Ramp:
     return "ramp";
-  case ColdWay::Bucket:
+  case AdmissionPolicy::Bucket:
     return "bucket";
-  case ColdWay::Owners:
+  case AdmissionPolicy::Owners:
     return "owners";
-  case ColdWay::Weight:
+  case AdmissionPolicy::Weight:
     return "weight";
   }
   return "";
 }
 
-std::string nameOf(FleetBelief Which) {
+std::string nameOf(MembershipModel Which) {
   switch (Which) {
-  case FleetBelief::Alike:
+  case MembershipModel::Alike:
     return "alike";
-  case FleetBelief::Halved:
+  case MembershipModel::Halved:
     return "halved";
-  case FleetBelief::Apart:
+  case MembershipModel::Apart:
     return "apart";
-  case FleetBelief::Added:
+  case MembershipModel::Added:
     return "added";
-  case FleetBelief::Partial:
+  case MembershipModel::Partial:
     return "partial";
-  case FleetBelief::Restarted:
+  case MembershipModel::Restarted:
     return "restarted";
   }
   return "";
--- a/test/cold-fleet.h
+++ b/test/cold-fleet.h
@@ -11,7 +11,7 @@
 namespace thymewall::test {
 
 /// How a balancer decides whether a flow goes to a cold upstream.
-enum class ColdWay : std::uint8_t {
+enum class AdmissionPolicy : std::uint8_t {
   Ramp,   ///< A share of the candidate's flows that grows with time.
   Bucket, ///< A token bucket of the limit divided by the members believed in.
   Owners, ///< `ColdAdmission`.
@@ -19,7 +19,7 @@
 };
 
 /// What balancers believe of each other.
-enum class FleetBelief : std::uint8_t {
+enum class MembershipModel : std::uint8_t {
   Alike,     ///< All know all.
   Halved,    ///< Half are gone, and all know it.
   Apart,     ///< Two halves, each of which has forgotten the other.
@@ -34,22 +34,22 @@
   std::size_t Warm_ = 0;
   std::size_t Cold_ = 0;
   ColdLimit Limit_;
-  FleetBelief Belief_ = FleetBelief::Alike;
+  MembershipModel Belief_ = MembershipModel::Alike;
   double FlowsPerBalancer_ = 6; ///< New ones a second.
 };
 
 struct ColdOutcome {
-  double Fullest_ = 0;  ///< Most flows in a sliding second, over the limit.
-  double Used_ = 0;     ///< Flows of the cold, over what they bear.
-  double Rejected_ = 0; ///< Share of all flows.
+  double PeakRatio_ = 0; ///< Most flows in a sliding second, over the limit.
+  double Used_ = 0;      ///< Flows of the cold, over what they bear.
+  double Rejected_ = 0;  ///< Share of all flows.
 };
 
 /// Plays \p For seconds, in which the cold stay cold.
-ColdOutcome play(const ColdScenario &Scenario, ColdWay Way, double For,
+ColdOutcome play(const ColdScenario &Scenario, AdmissionPolicy Way, double For,
                  std::uint64_t Seed);
 
-std::string nameOf(ColdWay Way);
-std::string nameOf(FleetBelief Which);
+std::string nameOf(AdmissionPolicy Way);
+std::string nameOf(MembershipModel Which);
 
 } // namespace thymewall::test
 
--- a/test/news-test.cc
+++ b/test/news-test.cc
@@ -253,7 +253,7 @@
   E.Slots_ = 3;
   E.Draining_ = true;
   E.WarmAt_ = Now + 1500ms;
-  E.BornMs_ = 1772424720123;
+  E.StartTimeMs_ = 1772424720123;
   E.Part_ = 200;
   UpstreamEntry Six = E;
   Six.Incarnation_ = Incarnation{3};
@@ -262,7 +262,7 @@
   Six.DataHall_ = "other";
   M.Upstreams_.Changes_.push_back({E.Incarnation_, 9, E});
   M.Upstreams_.Changes_.push_back({Six.Incarnation_, 9, Six});
-  M.Upstreams_.Same_.set(7);
+  M.Upstreams_.UnchangedParts_.set(7);
   M.Parts_.set(255);
   M.Upstreams_.Ended_.push_back({E.Incarnation_, 8, E, true});
   NewsMessage Out;
@@ -276,12 +276,12 @@
         "index");
   CHECK(Got.Upstreams_.Changes_[1].Entry_ == E);
   CHECK(Got.Upstreams_.Changes_[2].Entry_ == Six);
-  CHECK(Got.Upstreams_.Same_ == M.Upstreams_.Same_);
+  CHECK(Got.Upstreams_.UnchangedParts_ == M.Upstreams_.UnchangedParts_);
   CHECK(Got.Parts_ == M.Parts_);
   CHECK_FALSE(Got.Upstreams_.Changes_[0].Entry_);
   REQUIRE(Got.Upstreams_.Ended_.size() == 1);
   CHECK(Got.Upstreams_.Ended_[0].Entry_ == E);
-  CHECK(Got.Upstreams_.Ended_[0].At_ == 8);
+  CHECK(Got.Upstreams_.Ended_[0].Revision_ == 8);
   CHECK(Got.Upstreams_.Ended_[0].Ended_);
   CHECK(Got.Upstreams_.Unchanged_ == M.Upstreams_.Unchanged_);
   rc::check([&] {
--- a/test/parts-exchange-test.cc
+++ b/test/parts-exchange-test.cc
@@ -63,7 +63,7 @@
     News M;
     M.Upstreams_.Whole_ = true;
     M.Upstreams_.Through_ = Through;
-    M.Upstreams_.Same_ = allParts();
+    M.Upstreams_.UnchangedParts_ = allParts();
     News_.received(at(30ms), LinkId{Peer}, M);
   }
 
--- a/test/published-test.cc
+++ b/test/published-test.cc
@@ -69,7 +69,7 @@
   CHECK(E.Slots_ == 3);
   CHECK_FALSE(E.Draining_);
   CHECK(E.WarmAt_ == Now + std::chrono::milliseconds(1500));
-  CHECK(A.Changes_[0].At_ == 14);
+  CHECK(A.Changes_[0].Revision_ == 14);
 }
 
 TEST_CASE("the operators' document") {
@@ -94,7 +94,7 @@
   StoreAnswer A = decode(
       {{"items", {item("servers/i-1", Told, 1)}}, {"store-revision", 1}});
   REQUIRE(A.Changes_[0].Entry_);
-  CHECK(A.Changes_[0].Entry_->BornMs_ == 1772424720123);
+  CHECK(A.Changes_[0].Entry_->StartTimeMs_ == 1772424720123);
 }
 
 namespace {
@@ -136,7 +136,7 @@
     RC_ASSERT(A.Changes_.size() == 3U);
     RC_ASSERT(A.Changes_[0].Entry_.has_value());
     RC_ASSERT(!A.Changes_[1].Entry_.has_value());
-    RC_ASSERT(A.Changes_[1].At_ == 2U);
+    RC_ASSERT(A.Changes_[1].Revision_ == 2U);
     RC_ASSERT(A.Changes_[2].Entry_.has_value());
     RC_ASSERT(A.Refused_.size() == 1U);
     RC_ASSERT(A.Refused_[0].find("servers/i-2: ") == 0U);
--- a/test/silence-evidence-test.cc
+++ b/test/silence-evidence-test.cc
@@ -10,34 +10,35 @@
 using namespace std::chrono_literals;
 
 TEST_CASE("the more upstreams are silent, the more it takes to suspect one") {
-  CHECK(SilenceEvidence::neededAmong(479, 0) == 1);
-  CHECK(SilenceEvidence::neededAmong(0, 0) == 1);
-  CHECK(SilenceEvidence::neededAmong(13, 1) == 2);
-  CHECK(SilenceEvidence::neededAmong(479, 96) == 2); // a fifth hangs
-  CHECK(SilenceEvidence::neededAmong(479, 240) == 4);
-  CHECK(SilenceEvidence::neededAmong(479, 479) <= SilenceEvidence::Kept);
+  CHECK(FailureEvidence::thresholdAmong(479, 0) == 1);
+  CHECK(FailureEvidence::thresholdAmong(0, 0) == 1);
+  CHECK(FailureEvidence::thresholdAmong(13, 1) == 2);
+  CHECK(FailureEvidence::thresholdAmong(479, 96) == 2); // a fifth hangs
+  CHECK(FailureEvidence::thresholdAmong(479, 240) == 4);
+  CHECK(FailureEvidence::thresholdAmong(479, 479) <=
+        FailureEvidence::MaxRequests);
   for (std::size_t Others : {1U, 13U, 119U, 479U})
     for (std::size_t Silent = 1; Silent <= Others; ++Silent)
-      CHECK(SilenceEvidence::neededAmong(Others, Silent - 1) <=
-            SilenceEvidence::neededAmong(Others, Silent));
+      CHECK(FailureEvidence::thresholdAmong(Others, Silent - 1) <=
+            FailureEvidence::thresholdAmong(Others, Silent));
 }
 
 TEST_CASE("a request counts once, for a while, until the upstream answers") {
-  SilenceEvidence E;
+  FailureEvidence E;
   MonoTime Now(100s);
   CHECK(E.add(Now, 1, FlowId{7}));
   CHECK_FALSE(E.add(Now, 1, FlowId{7}));
   CHECK(E.add(Now + 100ms, 1, FlowId{8}));
-  CHECK(E.against(Now + 200ms, 1) == 2);
-  CHECK(E.against(Now + SilenceEvidence::CountsFor, 1) == 1);
-  CHECK(E.add(Now + SilenceEvidence::CountsFor, 1, FlowId{7}));
+  CHECK(E.count(Now + 200ms, 1) == 2);
+  CHECK(E.count(Now + FailureEvidence::CountingWindow, 1) == 1);
+  CHECK(E.add(Now + FailureEvidence::CountingWindow, 1, FlowId{7}));
   E.clear(1);
-  CHECK(E.against(Now + 200ms, 1) == 0);
+  CHECK(E.count(Now + 200ms, 1) == 0);
   for (std::uint64_t Flow = 0; Flow < 100; ++Flow)
     E.add(Now, 2, FlowId{Flow});
-  CHECK(E.against(Now, 2) == SilenceEvidence::Kept);
-  E.expire(Now + SilenceEvidence::CountsFor);
-  CHECK(E.against(Now, 2) == 0);
+  CHECK(E.count(Now, 2) == FailureEvidence::MaxRequests);
+  E.expire(Now + FailureEvidence::CountingWindow);
+  CHECK(E.count(Now, 2) == 0);
 }
 
 namespace {
--- a/test/three-upstreams.h
+++ b/test/three-upstreams.h
@@ -33,9 +33,9 @@
 }
 
 /// A balancer with three upstreams; records what it asks for.
-class Balancer3 {
+class RecordingBalancer {
 public:
-  Balancer3()
+  RecordingBalancer()
       : B_(PacketBalancerBuilder()
                .onCheck([this](const UpstreamCheck &C) {
                  Checks_.push_back(raw(C.Upstream_));
--- a/test/upstream-address-test.cc
+++ b/test/upstream-address-test.cc
@@ -25,7 +25,7 @@
     for (std::uint16_t Other = 2; B_.request(Other) == First_;)
       ++Other;
     Next_ = up(7);
-    Next_.At_ = 5;
+    Next_.Revision_ = 5;
     Next_.Entry_->At_ = up(First_).Entry_->At_;
     Next_.Entry_->Service_ = ServiceId{2};
   }
@@ -37,7 +37,7 @@
     return !B_.takesFlows(Upstream, Time);
   }
 
-  Balancer3 B_;
+  RecordingBalancer B_;
   std::uint64_t First_ = 0;
   UpstreamChange Next_;
 };
@@ -46,7 +46,7 @@
 
 TEST_CASE("an upstream that is gone has ended once another has its address") {
   SharedAddress S;
-  Balancer3 &B = S.B_;
+  RecordingBalancer &B = S.B_;
   SUBCASE("its flows are reset, and it is never checked nor chosen again") {
     B.B_.applyUpstreams(at(100ms), {S.Next_, S.firstGone()});
     REQUIRE_FALSE(B.Resets_.empty());
@@ -65,7 +65,7 @@
     CHECK(S.neverChosen(S.First_, 9s));
   }
   SUBCASE("whichever of them is heard of first") {
-    Balancer3 C;
+    RecordingBalancer C;
     C.B_.setRouting(at(0ms), bothServices(2));
     C.B_.applyUpstreams(at(0ms), {S.Next_});
     C.B_.applyUpstreams(at(10ms), {up(S.First_)});
@@ -74,7 +74,7 @@
   }
   SUBCASE("its own changes are no other upstream") {
     UpstreamChange Same = up(S.First_);
-    Same.At_ = 6;
+    Same.Revision_ = 6;
     B.B_.applyUpstreams(at(100ms), {Same});
     CHECK(B.Resets_.empty());
   }
@@ -84,14 +84,14 @@
   // The first upstream is cut off and crashes behind the cut; another one takes
   // its address. When the cut heals, what the first wrote before arrives.
   SharedAddress S;
-  Balancer3 &B = S.B_;
+  RecordingBalancer &B = S.B_;
   S.Next_.Entry_->Service_ = ServiceId{1};
   B.B_.applyUpstreams(at(100ms), {S.firstGone()});
   B.B_.applyUpstreams(at(200ms), {S.Next_});
   B.follow(300ms, 500, 7, 1000, 1, 100); // a flow at the other one
   std::size_t Before = B.Resets_.size();
   UpstreamChange Late = up(S.First_);
-  Late.At_ = 724;
+  Late.Revision_ = 724;
   SUBCASE("at a balancer that knows both") {
     B.B_.applyUpstreams(at(400ms), {Late});
     CHECK(B.Resets_.size() == Before);
@@ -99,7 +99,7 @@
     CHECK_FALSE(B.takesFlows(S.First_, 500ms));
   }
   SUBCASE("at one that has just started") {
-    Balancer3 C;
+    RecordingBalancer C;
     C.B_.setRouting(at(0ms), bothServices(2));
     C.B_.applyUpstreams(at(0ms), {S.Next_});
     C.follow(100ms, 500, 7, 1000, 1, 100);
@@ -113,11 +113,11 @@
 
 TEST_CASE("where births are told the later start has the address") {
   SharedAddress S;
-  Balancer3 &B = S.B_;
+  RecordingBalancer &B = S.B_;
   UpstreamChange First = up(S.First_);
-  First.At_ = 4;
-  First.Entry_->BornMs_ = 1000;
-  S.Next_.Entry_->BornMs_ = 2000;
+  First.Revision_ = 4;
+  First.Entry_->StartTimeMs_ = 1000;
+  S.Next_.Entry_->StartTimeMs_ = 2000;
   B.B_.applyUpstreams(at(50ms), {First});
   B.request(400);
   while (B.request(400) != S.First_)
@@ -131,7 +131,7 @@
     B.B_.applyUpstreams(at(100ms), {S.Next_});
     B.follow(150ms, 500, 7, 1000, 1, 100);
     std::size_t Before = B.Resets_.size();
-    First.At_ = 724;
+    First.Revision_ = 724;
     B.B_.applyUpstreams(at(200ms), {First});
     CHECK(B.Resets_.size() == Before);
     CHECK(S.neverChosen(S.First_, 300ms));
@@ -140,7 +140,7 @@
 
 TEST_CASE("an entry of a service that nobody has named takes no address") {
   SharedAddress S;
-  Balancer3 &B = S.B_;
+  RecordingBalancer &B = S.B_;
   S.Next_.Entry_->Service_ = ServiceId{99};
   B.B_.applyUpstreams(at(100ms), {S.Next_, S.firstGone()});
   CHECK(B.Resets_.empty());
--- a/test/upstream-check-test.cc
+++ b/test/upstream-check-test.cc
@@ -11,7 +11,7 @@
 
 TEST_CASE("a request sent again without progress asks for a check, once a "
           "second") {
-  Balancer3 B;
+  RecordingBalancer B;
   std::uint64_t Up = B.request(1);
   CHECK(B.Checks_.empty());
   B.follow(210ms, 1, Up, 1000, 1, 100);
@@ -24,7 +24,7 @@
 }
 
 TEST_CASE("a copy of an opening asks for a check of the silent upstream") {
-  Balancer3 B;
+  RecordingBalancer B;
   std::uint64_t First = B.open(0ms, 1);
   B.open(200ms, 1, 1);
   CHECK(B.Checks_ == std::vector<std::uint64_t>{First});
@@ -32,7 +32,7 @@
 
 TEST_CASE(
     "proof of death resets every open flow of the upstream and no other") {
-  Balancer3 B;
+  RecordingBalancer B;
   std::set<std::uint16_t> Lost;
   std::uint64_t Dead = B.request(1);
   for (std::uint16_t Port = 1; Port <= 60; ++Port)
@@ -57,7 +57,7 @@
 }
 
 TEST_CASE("a dead upstream takes no new flow until a check reaches it again") {
-  Balancer3 B;
+  RecordingBalancer B;
   std::uint64_t Dead = B.request(1);
   B.checked(370ms, Dead, CheckResult::Dead, 210ms);
   // Checked again by itself, less and less often.
@@ -95,7 +95,7 @@
 }
 
 TEST_CASE("an upstream that is published again is checked at once") {
-  Balancer3 B;
+  RecordingBalancer B;
   std::uint64_t Dead = B.request(1);
   B.checked(370ms, Dead, CheckResult::Dead, 210ms);
   B.B_.applyUpstreams(at(400ms), {{Incarnation{Dead}, 2, std::nullopt}});
@@ -109,7 +109,7 @@
 }
 
 TEST_CASE("flows that come to a dead upstream later are reset by its checks") {
-  Balancer3 B;
+  RecordingBalancer B;
   std::uint64_t Dead = B.request(1);
   B.checked(370ms, Dead, CheckResult::Dead, 210ms);
   REQUIRE(B.Resets_.size() == 1);
@@ -120,7 +120,7 @@
 }
 
 TEST_CASE("a peer's warning of a dead upstream asks for a check of our own") {
-  Balancer3 B;
+  RecordingBalancer B;
   std::uint64_t Up = B.request(1);
   B.B_.warned(at(100ms), {Incarnation{Up}, UpstreamWarning::Kind::Dead});
   CHECK(B.Checks_.empty()); // spread over the ticks of the fleet
@@ -139,21 +139,21 @@
 
 TEST_CASE("an upstream that lives keeps its flows") {
   SUBCASE("it accepts connections, however slow it is") {
-    Balancer3 B;
+    RecordingBalancer B;
     std::uint64_t Up = B.request(1);
     B.follow(210ms, 1, Up, 1000, 1, 100);
     B.checked(215ms, Up, CheckResult::Connected, 210ms);
     CHECK(B.Resets_.empty());
   }
   SUBCASE("the check was disturbed") {
-    Balancer3 B;
+    RecordingBalancer B;
     std::uint64_t Up = B.request(1);
     B.follow(210ms, 1, Up, 1000, 1, 100);
     B.checked(900ms, Up, CheckResult::Unclear, 210ms);
     CHECK(B.Resets_.empty());
   }
   SUBCASE("another of its flows went on meanwhile: only the check was cut") {
-    Balancer3 B;
+    RecordingBalancer B;
     std::uint64_t Up = B.request(1);
     std::uint16_t Other = 2;
     while (B.request(Other) != Up)
@@ -164,20 +164,20 @@
     CHECK(B.Resets_.empty());
   }
   SUBCASE("it is draining: it ends its flows itself") {
-    Balancer3 B;
+    RecordingBalancer B;
     std::uint64_t Up = B.request(1);
     B.B_.applyUpstreams(at(100ms), {up(Up, true)});
     B.follow(210ms, 1, Up, 1000, 1, 100);
     CHECK(B.Checks_.empty());
   }
   SUBCASE("it works on a request for long: the caller sends nothing again") {
-    Balancer3 B;
+    RecordingBalancer B;
     std::uint64_t Up = B.request(1);
     B.follow(20ms, 1, Up, 1000); // an acknowledgement alone
     CHECK(B.Checks_.empty());
   }
   SUBCASE("the caller took the first answer though its copy went elsewhere") {
-    Balancer3 B;
+    RecordingBalancer B;
     std::uint64_t First = B.open(0ms, 1);
     std::uint64_t Second = B.open(200ms, 1, 1);
     REQUIRE(First != Second);
@@ -189,7 +189,7 @@
     CHECK(B.Resets_.size() == 1);
   }
   SUBCASE("a late result of another start at the same place") {
-    Balancer3 B;
+    RecordingBalancer B;
     std::uint64_t Up = B.request(1);
     B.follow(210ms, 1, Up, 1000, 1, 100);
     B.checked(370ms, Up + (std::uint64_t{1} << 32), CheckResult::Dead, 210ms);
@@ -199,7 +199,7 @@
 
 TEST_CASE("without proof no flow is ever reset") {
   rc::check([] {
-    Balancer3 B;
+    RecordingBalancer B;
     auto Now = 0ms;
     std::vector<std::uint64_t> Ups(10);
     for (int Step = 0; Step < 120; ++Step) {
--- a/test/upstream-codec-test.cc
+++ b/test/upstream-codec-test.cc
@@ -13,7 +13,7 @@
 UpstreamChange listed(std::uint64_t Id) {
   UpstreamEntry E;
   E.Incarnation_ = Incarnation{0x7f3a91c200 + Id};
-  E.BornMs_ = 1772424720123 + Id;
+  E.StartTimeMs_ = 1772424720123 + Id;
   E.Service_ = ServiceId{0x9e3779b9};
   E.At_ = Endpoint::v4(static_cast<std::uint32_t>(0x0a034000 + Id), 8241);
   E.DataHall_ = "ams-hall-" + std::string(1, static_cast<char>('a' + Id % 5));
--- a/test/upstream-list-test.cc
+++ b/test/upstream-list-test.cc
@@ -32,7 +32,7 @@
 /// What a list holds, as identifiers and slots.
 std::map<std::uint64_t, std::uint32_t> contents(const UpstreamList &List) {
   std::map<std::uint64_t, std::uint32_t> Result;
-  UpstreamBatch All = List.since(0);
+  UpstreamBatch All = List.changesSince(0);
   for (const UpstreamChange &C : All.Changes_)
     if (C.Entry_)
       Result[raw(C.Incarnation_)] = C.Entry_->Slots_;
@@ -84,15 +84,15 @@
   UpstreamList List;
   REQUIRE(apply(List, {true, 0, 10, {put(1, 4), put(2, 9)}, {}}));
   REQUIRE(apply(List, {false, 10, 13, {gone(1, 11), put(3, 12)}, {}}));
-  UpstreamBatch Delta = List.since(10);
+  UpstreamBatch Delta = List.changesSince(10);
   CHECK_FALSE(Delta.Whole_);
   CHECK(Delta.Changes_.size() == 2);
-  CHECK(List.since(9).Whole_); // ends before the list are not known
-  for (Revision R = 14; R < 20 + 2 * UpstreamList::KeptEnds; R += 2)
+  CHECK(List.changesSince(9).Whole_); // ends before the list are not known
+  for (Revision R = 14; R < 20 + 2 * UpstreamList::MaxTombstones; R += 2)
     REQUIRE(
         apply(List, {false, R - 1, R + 1, {put(R, R), gone(R, R + 1)}, {}}));
-  CHECK(List.since(13).Whole_);
-  CHECK_FALSE(List.since(List.through() - 4).Whole_);
+  CHECK(List.changesSince(13).Whole_);
+  CHECK_FALSE(List.changesSince(List.through() - 4).Whole_);
 }
 
 TEST_CASE("a whole list names what the receiver has already") {
@@ -101,7 +101,7 @@
   REQUIRE(
       apply(Receiver, {true, 0, 10, {put(1, 4), put(2, 9), put(3, 3)}, {}}));
   REQUIRE(apply(Sender, {true, 0, 20, {put(1, 4), put(2, 15, 7)}, {}}));
-  UpstreamBatch Batch = Sender.since(Receiver.through());
+  UpstreamBatch Batch = Sender.changesSince(Receiver.through());
   CHECK(Batch.Whole_);
   CHECK(Batch.Changes_.size() == 1);
   CHECK(Batch.Unchanged_ == std::vector<Incarnation>{Incarnation{1}});
@@ -120,14 +120,14 @@
 
   UpstreamList Started;
   REQUIRE(apply(Started, {true, 0, 20, {put(3, 3)}, {}}));
-  UpstreamBatch Told = Old.since(20);
+  UpstreamBatch Told = Old.changesSince(20);
   Told.Ended_ = Old.ended();
   std::vector<UpstreamChange> Applied;
   REQUIRE(Started.apply(Told, Applied));
   REQUIRE(Applied.size() == 2);
   CHECK(Applied[0].Ended_);
   CHECK(Applied[0].Entry_ == entry(1, 2));
-  CHECK(Applied[0].At_ == 11); // when it was listed so
+  CHECK(Applied[0].Revision_ == 11); // when it was listed so
   CHECK(Applied[1].Entry_ == entry(2));
   CHECK(Started.size() == 1);
 
@@ -149,10 +149,11 @@
 TEST_CASE("of what has ended only the latest are kept") {
   UpstreamList List;
   Revision At = 0;
-  for (std::uint64_t Id = 1; Id <= UpstreamList::KeptEnded + 10; ++Id, At += 2)
+  for (std::uint64_t Id = 1; Id <= UpstreamList::MaxEndedEntries + 10;
+       ++Id, At += 2)
     REQUIRE(apply(
         List, {false, At, At + 2, {put(Id, At + 1), gone(Id, At + 2)}, {}}));
-  CHECK(List.ended().size() == UpstreamList::KeptEnded);
+  CHECK(List.ended().size() == UpstreamList::MaxEndedEntries);
   CHECK(List.ended().front().Incarnation_ == Incarnation{11});
 }
 
@@ -181,7 +182,7 @@
       UpstreamList &To = Lists[*rc::gen::inRange<std::size_t>(0, 3)];
       if (*rc::gen::arbitrary<bool>()) {
         const UpstreamList &From = Lists[*rc::gen::inRange<std::size_t>(0, 3)];
-        apply(To, From.since(To.through()));
+        apply(To, From.changesSince(To.through()));
         RC_ASSERT(To.through() >= From.through());
         continue;
       }
@@ -201,15 +202,15 @@
 
 UpstreamChange born(std::uint64_t Id, Revision At, std::uint64_t BornMs) {
   UpstreamChange Change = put(Id, At);
-  Change.Entry_->BornMs_ = BornMs;
+  Change.Entry_->StartTimeMs_ = BornMs;
   return Change;
 }
 
 /// When the listed start of upstream 1 was born; 0 when it is not listed.
 std::uint64_t bornMs(const UpstreamList &List) {
-  for (const UpstreamChange &C : List.since(0).Changes_)
+  for (const UpstreamChange &C : List.changesSince(0).Changes_)
     if (C.Incarnation_ == Incarnation{1})
-      return C.Entry_->BornMs_;
+      return C.Entry_->StartTimeMs_;
   return 0;
 }
 
--- a/test/upstream-restart-test.cc
+++ b/test/upstream-restart-test.cc
@@ -9,8 +9,8 @@
 
 UpstreamChange born(std::uint64_t Id, std::uint64_t BornMs, Revision At) {
   UpstreamChange Change = up(Id);
-  Change.At_ = At;
-  Change.Entry_->BornMs_ = BornMs;
+  Change.Revision_ = At;
+  Change.Entry_->StartTimeMs_ = BornMs;
   return Change;
 }
 
@@ -26,7 +26,7 @@
     B_.B_.applyUpstreams(at(Time), {born(Which_, 200, 10)});
   }
 
-  Balancer3 B_;
+  RecordingBalancer B_;
   std::uint64_t Which_ = 0;
 };
 
@@ -34,7 +34,7 @@
 
 TEST_CASE("a start under the same incarnation ends every verdict") {
   Restarted R;
-  Balancer3 &B = R.B_;
+  RecordingBalancer &B = R.B_;
   SUBCASE("death") {
     B.checked(300ms, R.Which_, CheckResult::Dead, 200ms);
     REQUIRE_FALSE(B.takesFlows(R.Which_, 350ms));
@@ -64,7 +64,7 @@
 
 TEST_CASE("what began before a start says nothing of it") {
   Restarted R;
-  Balancer3 &B = R.B_;
+  RecordingBalancer &B = R.B_;
   R.startAgain(400ms);
   SUBCASE("a check") {
     B.checked(500ms, R.Which_, CheckResult::Dead, 350ms);
@@ -91,7 +91,7 @@
 
 TEST_CASE("flows are left to the new start, which knows which it holds") {
   Restarted R;
-  Balancer3 &B = R.B_;
+  RecordingBalancer &B = R.B_;
   R.startAgain(400ms);
   CHECK(B.Resets_.empty());
   Packet P = packet(1);
@@ -107,7 +107,7 @@
 
 TEST_CASE("requests at the earlier start weigh nothing at the new one") {
   Restarted R;
-  Balancer3 &B = R.B_;
+  RecordingBalancer &B = R.B_;
   for (std::uint16_t Port = 1000; Port < 1100; ++Port)
     B.open(100ms, Port);
   R.startAgain(400ms);
--- a/test/upstream-stall-test.cc
+++ b/test/upstream-stall-test.cc
@@ -9,7 +9,7 @@
 
 TEST_CASE("an upstream that takes requests and answers none gets no new flows "
           "for a while") {
-  Balancer3 B;
+  RecordingBalancer B;
   B.answered(900); // what the service usually takes is known
   std::uint64_t Up = B.request(1);
   SUBCASE("once its first request waits for longer than any work takes") {
@@ -57,7 +57,7 @@
 
 TEST_CASE(
     "while callers are sent to other balancers, silence here says nothing") {
-  Balancer3 B;
+  RecordingBalancer B;
   B.answered(900);
   std::uint64_t Up = B.request(1);
   B.B_.setServing(false);
@@ -84,14 +84,14 @@
 
 TEST_CASE("a service that is slow and well loses no upstream") {
   SUBCASE("before its first answer nothing is known of it") {
-    Balancer3 B;
+    RecordingBalancer B;
     std::uint64_t Up = B.request(1);
     for (auto Now = 250ms; Now < 5s; Now += 250ms)
       B.B_.tick(at(Now));
     CHECK(B.takesFlows(Up, 5s));
   }
   SUBCASE("then it is judged by what it usually takes") {
-    Balancer3 B;
+    RecordingBalancer B;
     B.answered(900, 1000ms);
     std::uint64_t Up = B.request(1);
     for (auto Now = 1250ms; Now < 7s; Now += 250ms)
@@ -105,7 +105,7 @@
 
 TEST_CASE("openings that usually take long are not retried before that, and "
           "cost no upstream its flows") {
-  Balancer3 B;
+  RecordingBalancer B;
   CHECK(B.B_.openingWait() == 40ms);
   auto OpenIn = [&](std::chrono::milliseconds Begin, std::uint16_t Port,
                     std::chrono::milliseconds After) {
@@ -132,7 +132,7 @@
 }
 
 TEST_CASE("a peer's warning of a stalled upstream keeps new flows away") {
-  Balancer3 B;
+  RecordingBalancer B;
   std::uint64_t Up = B.request(1);
   UpstreamWarning Stalled{Incarnation{Up}, UpstreamWarning::Kind::Stalled};
   SUBCASE("for a while") {
@@ -160,7 +160,7 @@
 }
 
 TEST_CASE("while the fabric moves flows, it takes two requests") {
-  Balancer3 B;
+  RecordingBalancer B;
   B.B_.arrived(at(900ms)); // until 3.4 s
   std::uint64_t Up = B.request(1);
   auto Unanswered = [Up](std::uint64_t Flow) {
@@ -219,7 +219,7 @@
 
 TEST_CASE("silence of one's own counts once for each flow, and peers hear of "
           "each") {
-  Balancer3 B;
+  RecordingBalancer B;
   B.answered(900);
   std::uint64_t Up = B.request(1);
   B.follow(20ms, 2, Up, 1000, 1, 100);  // a flow that a peer opened
@@ -234,7 +234,7 @@
 }
 
 TEST_CASE("after a stall few flows come back at first, then more") {
-  Balancer3 B;
+  RecordingBalancer B;
   B.answered(900);
   std::uint64_t Up = B.request(1);
   B.B_.tick(at(750ms));         // no new flows until 2.75 s
--- a/test/upstream-table-test.cc
+++ b/test/upstream-table-test.cc
@@ -24,8 +24,8 @@
   return D;
 }
 
-Eligible eligible(std::size_t Count, std::uint32_t FirstSlots = 1) {
-  Eligible Result;
+EligibleSet eligible(std::size_t Count, std::uint32_t FirstSlots = 1) {
+  EligibleSet Result;
   for (std::size_t I = 0; I < Count; ++I)
     Result.add(static_cast<std::uint32_t>(I), I == 0 ? FirstSlots : 1);
   return Result;
@@ -42,9 +42,9 @@
 double imbalance(const Chooser &Choose, std::size_t Flows) {
   UpstreamTable Table;
   Table.declare(declare(14), at(0));
-  Eligible Among = eligible(14);
+  EligibleSet Among = eligible(14);
   for (std::size_t I = 0; I < Flows; ++I) {
-    Choice C{
+    ChooserInput C{
         {ServiceId{1}, FlowId{I * 7919 + 1}}, Among, Table.rows(), at(10'000)};
     ++Table[Among.Indexes_[Choose(C)]].OwnFlows_;
   }
@@ -57,20 +57,20 @@
 } // namespace
 
 TEST_CASE("two choices on own counts even out what the plain hash does not") {
-  CHECK(imbalance(chooseTwoOwn, 28'000) < 0.5);
-  CHECK(imbalance(choosePlainHash, 28'000) > 1);
+  CHECK(imbalance(chooseByOwnFlows, 28'000) < 0.5);
+  CHECK(imbalance(chooseByHash, 28'000) > 1);
 }
 
 TEST_CASE("two candidates differ, stay the same, and are each of all pairs") {
   UpstreamTable Table;
   Table.declare(declare(5), at(0));
-  Eligible Among = eligible(5, 4);
+  EligibleSet Among = eligible(5, 4);
   std::map<std::pair<std::size_t, std::size_t>, int> Pairs;
   for (std::uint64_t Flow = 1; Flow <= 8000; ++Flow) {
     FlowKey Key{ServiceId{1}, FlowId{Flow}};
-    auto Pair = candidates({Key, Among, Table.rows(), at(0)});
+    auto Pair = drawCandidates({Key, Among, Table.rows(), at(0)});
     CHECK(Pair.first != Pair.second);
-    CHECK(Pair == candidates({Key, Among, Table.rows(), at(9)}));
+    CHECK(Pair == drawCandidates({Key, Among, Table.rows(), at(9)}));
     ++Pairs[Pair];
   }
   CHECK(Pairs.size() == 20U);
@@ -88,45 +88,46 @@
   UpstreamTable Table(1);
   Table.declare(declare(1), at(0));
   auto EjectedFor = [&](int Now) {
-    Table.failed(0, at(Now), 0.5);
+    Table.recordFailure(0, at(Now), 0.5);
     return Table.rows()[0].EjectedUntil_ - at(Now);
   };
-  CHECK(EjectedFor(0) == UpstreamTable::Ejection);
-  CHECK(EjectedFor(10'000) == 2 * UpstreamTable::Ejection);
-  CHECK(EjectedFor(20'000) == 4 * UpstreamTable::Ejection);
-  CHECK(EjectedFor(30'000) == 4 * UpstreamTable::Ejection);
-  Table.succeeded(0);
-  CHECK(EjectedFor(40'000) == UpstreamTable::Ejection);
+  CHECK(EjectedFor(0) == UpstreamTable::BaseEjectionTime);
+  CHECK(EjectedFor(10'000) == 2 * UpstreamTable::BaseEjectionTime);
+  CHECK(EjectedFor(20'000) == 4 * UpstreamTable::BaseEjectionTime);
+  CHECK(EjectedFor(30'000) == 4 * UpstreamTable::BaseEjectionTime);
+  Table.recordSuccess(0);
+  CHECK(EjectedFor(40'000) == UpstreamTable::BaseEjectionTime);
 }
 
 TEST_CASE("a failure while ejected for another reason counts as the first") {
   UpstreamTable Table(1);
   Table.declare(declare(1), at(0));
   Table.eject(0, at(1000));
-  Table.failed(0, at(0), 0.5);
-  CHECK(Table.rows()[0].EjectedUntil_ == at(0) + UpstreamTable::Ejection);
+  Table.recordFailure(0, at(0), 0.5);
+  CHECK(Table.rows()[0].EjectedUntil_ ==
+        at(0) + UpstreamTable::BaseEjectionTime);
 }
 
 TEST_CASE("the dead are left out however many they are, unless all are") {
   UpstreamTable Table;
   Table.declare(declare(4), at(0));
-  Eligible Among;
+  EligibleSet Among;
   for (std::uint32_t Index = 0; Index < 3; ++Index)
     Table.setDead(Index, true);
-  Table.eligibleNow(all(4), at(0), Among);
+  Table.selectEligible(all(4), at(0), Among);
   CHECK(Among.Indexes_ == std::vector<std::uint32_t>{3});
   // The last one living is ejected: better than one that is dead.
   Table.eject(3, at(1000));
-  Table.eligibleNow(all(4), at(0), Among);
+  Table.selectEligible(all(4), at(0), Among);
   CHECK(Among.Indexes_ == std::vector<std::uint32_t>{3});
   Table.setDead(3, true);
-  Table.eligibleNow(all(4), at(0), Among);
+  Table.selectEligible(all(4), at(0), Among);
   CHECK(Among.size() == 4);
   Table.setDead(1, false);
-  Table.eligibleNow(all(4), at(0), Among);
+  Table.selectEligible(all(4), at(0), Among);
   CHECK(Among.Indexes_ == std::vector<std::uint32_t>{1});
-  Table.forgetBeliefs();
-  Table.eligibleNow(all(4), at(0), Among);
+  Table.resetHealth();
+  Table.selectEligible(all(4), at(0), Among);
   CHECK(Among.size() == 4);
 }
 
@@ -135,11 +136,11 @@
   D.Upstreams_[0].Slots_ = 3;
   UpstreamTable Table;
   Table.declare(D, at(0));
-  Eligible Among = eligible(2, 3);
+  EligibleSet Among = eligible(2, 3);
   int First = 0;
   for (std::uint64_t Flow = 1; Flow <= 4000; ++Flow)
     First +=
-        choosePlainHash(
+        chooseByHash(
             {{ServiceId{1}, FlowId{Flow}}, Among, Table.rows(), at(0)}) == 0;
   CHECK(First > 2850);
   CHECK(First < 3150);
@@ -151,12 +152,12 @@
   Table.declare(declare(5), at(1000)); // up-4 is new, with no flows
   for (std::uint32_t I = 0; I < 4; ++I)
     Table[I].OwnFlows_ = 100;
-  Eligible Among = eligible(5);
+  EligibleSet Among = eligible(5);
   auto Share = [&](MonoTime Now) {
     int Taken = 0;
     for (std::uint64_t Flow = 1; Flow <= 2000; ++Flow)
       Taken +=
-          chooseTwoOwn(
+          chooseByOwnFlows(
               {{ServiceId{1}, FlowId{Flow}}, Among, Table.rows(), Now}) == 4;
     return Taken / 2000.0;
   };
@@ -169,17 +170,17 @@
   UpstreamTable Table;
   Table.declare(declare(4), at(0));
   auto Fail = [&](std::uint32_t Index) {
-    for (std::uint32_t I = 0; I < UpstreamTable::FailuresToEject; ++I)
-      Table.failed(Index, at(0), 0.5);
+    for (std::uint32_t I = 0; I < UpstreamTable::DefaultFailureThreshold; ++I)
+      Table.recordFailure(Index, at(0), 0.5);
   };
   auto Now = [&](int When) {
-    Eligible Into;
-    Table.eligibleNow(all(4), at(When), Into);
+    EligibleSet Into;
+    Table.selectEligible(all(4), at(When), Into);
     return Into.Indexes_;
   };
-  Table.failed(1, at(0), 0.5);
-  Table.succeeded(1);
-  Table.failed(1, at(0), 0.5);
+  Table.recordFailure(1, at(0), 0.5);
+  Table.recordSuccess(1);
+  Table.recordFailure(1, at(0), 0.5);
   CHECK(Now(1).size() == 4U);
   Fail(0);
   CHECK(Now(1) == std::vector<std::uint32_t>{1, 2, 3});
@@ -188,7 +189,7 @@
   CHECK(Now(1).size() == 2U);
   Fail(2);
   CHECK(Now(1).size() == 4U); // three of four: no one is ejected
-  Table.forgetBeliefs();
+  Table.resetHealth();
   CHECK(Now(1).size() == 4U);
 }
 
@@ -196,44 +197,44 @@
   UpstreamTable Table;
   Declaration D = declare(2);
   Table.declare(D, at(0));
-  Eligible Into;
+  EligibleSet Into;
   Table.setLeaving(D.Upstreams_[0].Id_, true);
-  Table.eligibleNow(all(2), at(1), Into);
+  Table.selectEligible(all(2), at(1), Into);
   CHECK(Into.Indexes_ == std::vector<std::uint32_t>{1});
   Table.setLeaving(D.Upstreams_[1].Id_, true);
-  Table.eligibleNow(all(2), at(1), Into);
+  Table.selectEligible(all(2), at(1), Into);
   CHECK(Into.empty());
 }
 
 TEST_CASE("a new incarnation is cold again") {
   UpstreamTable Table;
   Table.declare(declare(1), at(0));
-  Table.seen(0, Incarnation{1}, at(100));
+  Table.recordIncarnation(0, Incarnation{1}, at(100));
   CHECK(Table[0].WarmAt_ <= at(100));
-  Table.seen(0, Incarnation{2}, at(200));
-  CHECK(Table[0].WarmAt_ == at(200) + UpstreamTable::ColdStart);
+  Table.recordIncarnation(0, Incarnation{2}, at(200));
+  CHECK(Table[0].WarmAt_ == at(200) + UpstreamTable::SlowStartDuration);
 }
 
 TEST_CASE("evacuated upstreams take nothing, also when all others are dead") {
   UpstreamTable Table;
   Table.declare(declare(4), at(0));
-  Eligible Among;
+  EligibleSet Among;
   Table.setEvacuated(0, true);
   Table.setEvacuated(1, true);
-  Table.eligibleNow(all(4), at(0), Among);
+  Table.selectEligible(all(4), at(0), Among);
   CHECK(Among.Indexes_ == std::vector<std::uint32_t>{2, 3});
   // Half of the two that may be used, not half of four.
   Table.eject(2, at(5000));
-  Table.eligibleNow(all(4), at(1), Among);
+  Table.selectEligible(all(4), at(1), Among);
   CHECK(Among.Indexes_ == std::vector<std::uint32_t>{3});
   Table.eject(3, at(5000));
-  Table.eligibleNow(all(4), at(1), Among);
+  Table.selectEligible(all(4), at(1), Among);
   CHECK(Among.Indexes_ == std::vector<std::uint32_t>{2, 3});
   Table.setDead(2, true);
   Table.setDead(3, true);
-  Table.eligibleNow(all(4), at(1), Among);
+  Table.selectEligible(all(4), at(1), Among);
   CHECK(Among.empty());
   Table.setEvacuated(0, false);
-  Table.eligibleNow(all(4), at(1), Among);
+  Table.selectEligible(all(4), at(1), Among);
   CHECK(Among.Indexes_ == std::vector<std::uint32_t>{0});
 }
