--- a/bench/cold-ways.cc
+++ b/bench/cold-ways.cc
@@ -24,7 +24,7 @@
                           {"a hall of 40", 80, 40},
                           {"all 40 cold", 0, 40}};
 
-void compare(std::size_t Balancers, double PerSecond, AdmissionPolicy Way,
+void compare(std::size_t Balancers, double PerSecond, AdmissionPolicy Policy,
              double For) {
   ColdOutcome Worst;
   double LeastUsed = 1e9;
@@ -38,17 +38,17 @@
                      {PerSecond, 1.5, 5},
                      static_cast<MembershipModel>(Which)};
       for (std::uint64_t Seed = 1; Seed <= Seeds; ++Seed) {
-        ColdOutcome O = play(S, Way, For, Seed);
+        ColdOutcome O = simulate(S, Policy, For, Seed);
         if (O.PeakRatio_ > Worst.PeakRatio_)
-          WorstAt = std::string(L.Name_) + ", " + nameOf(S.Belief_);
+          WorstAt = std::string(L.Name_) + ", " + nameOf(S.Membership_);
         Worst.PeakRatio_ = std::max(Worst.PeakRatio_, O.PeakRatio_);
         Worst.Rejected_ = std::max(Worst.Rejected_, O.Rejected_);
-        if (S.Belief_ == MembershipModel::Alike)
-          LeastUsed = std::min(LeastUsed, O.Used_);
+        if (S.Membership_ == MembershipModel::Complete)
+          LeastUsed = std::min(LeastUsed, O.Utilization_);
       }
     }
   std::printf("%4zu %5.0f  %-7s %6.2f  %5.2f  %5.2f  %s\n", Balancers,
-              PerSecond, nameOf(Way).c_str(), Worst.PeakRatio_, LeastUsed,
+              PerSecond, nameOf(Policy).c_str(), Worst.PeakRatio_, LeastUsed,
               Worst.Rejected_, WorstAt.c_str());
 }
 
@@ -60,8 +60,8 @@
               "(alike, least), rejected (most), worst at\n");
   for (std::size_t Balancers : {8U, 90U, 300U})
     for (double PerSecond : {2.0, 10.0, 50.0})
-      for (AdmissionPolicy Way :
+      for (AdmissionPolicy Policy :
            {AdmissionPolicy::Ramp, AdmissionPolicy::Bucket,
             AdmissionPolicy::Owners, AdmissionPolicy::Weight})
-        compare(Balancers, PerSecond, Way, For);
+        compare(Balancers, PerSecond, Policy, For);
 }
--- a/include/thymewall/answer-sizes.h
+++ b/include/thymewall/answer-sizes.h
@@ -1,10 +1,10 @@
 /// \file
-/// Which answers are far shorter than what an address gives.
+/// Detects answers that are much shorter than usual for an address.
 ///
-/// Load pattern: upstreams that are listed as well answer every request with an
-/// error. Answers go to the caller directly, but its acknowledgements pass the
-/// balancers and tell how many bytes came back: 175 for an error, where the
-/// right answers of that address have 650 and more. No payload is read.
+/// An upstream that answers every request with an error still accepts
+/// connections. Answers go to the caller directly, but the caller's
+/// acknowledgements pass the balancers and show how many bytes were sent: an
+/// error page is much shorter than a regular answer. No payload is read.
 #ifndef THYMEWALL_ANSWER_SIZES_H
 #define THYMEWALL_ANSWER_SIZES_H
 
@@ -14,22 +14,22 @@
 
 namespace thymewall {
 
-/// The sizes of right answers by the address that callers use. A size is what
-/// the caller's first acknowledgement after its request covers: all of a short
-/// answer, the first packets of a long one.
+/// Distribution of answer sizes for each service address. The size of an answer
+/// is what the caller's first acknowledgement after its request covers: a short
+/// answer in full, or the first packets of a long one.
 class AnswerSizes {
 public:
-  /// Nothing is judged by fewer answers.
+  /// Number of samples before any answer is classified.
   static constexpr std::uint32_t MinSamples = 32;
-  /// Beyond so many the older ones count half: what an address gives may
-  /// change.
+  /// Number of samples at which all weights are halved, so that the
+  /// distribution follows changes of the service.
   static constexpr std::uint32_t MaxSamples = 1024;
-  /// Below this share of right answers none is held to be usual: a right
-  /// answer is seldom taken for a failure.
+  /// Quantile of the distribution that is taken as the shortest usual size.
   static constexpr double BaselineQuantile = 0.005;
-  /// A short answer is less than half of the shortest usual one.
+  /// An answer is short if it is smaller than the shortest usual size divided
+  /// by this.
   static constexpr double ShortFactor = 2;
-  /// Addresses that are remembered; others are not judged.
+  /// Number of addresses tracked; answers of others are never short.
   static constexpr std::size_t MaxAddresses = 256;
 
   AnswerSizes();
@@ -37,8 +37,8 @@
   AnswerSizes &operator=(AnswerSizes &&) noexcept;
   ~AnswerSizes();
 
-  /// Takes an answer in; true when it is far shorter than the usual ones.
-  bool isShort(const Endpoint &Address, std::uint32_t Bytes);
+  /// Records an answer; returns true if it is much shorter than usual.
+  bool recordAndCheckShort(const Endpoint &Address, std::uint32_t Bytes);
 
 private:
   class Impl;
--- a/include/thymewall/cold-admission.h
+++ b/include/thymewall/cold-admission.h
@@ -1,15 +1,13 @@
 /// \file
-/// Which balancer may open a flow to a cold upstream now, so that the fleet as
-/// a whole stays within what the upstream bears.
+/// Admission control for new flows to cold upstreams, which have just started
+/// and bear only a limited rate.
 ///
-/// Load pattern: a release, an added upstream or a data hall that is taken back
-/// is cold for seconds, while each balancer of hundreds has a flow for it in
-/// the same moment; a share of the limit for each of them would be far below
-/// one flow a second, and nobody knows how many they are. So each cold upstream
-/// has few owners, by rendezvous over the members that a balancer believes in:
-/// a balancer that does not hear of the others overshoots alone, not by a
-/// division through too small a number. A caller's packet is never held for a
-/// cold upstream.
+/// The limit applies to the whole fleet, and the balancers do not coordinate.
+/// Dividing it by the fleet size would give each of hundreds of balancers less
+/// than one flow a second, and overshoot wherever a balancer knows only some of
+/// its peers. Instead, rendezvous hashing selects a few balancers as owners of
+/// each cold upstream, and only they open flows to it. Packets are never held
+/// back until an upstream is warm.
 #ifndef THYMEWALL_COLD_ADMISSION_H
 #define THYMEWALL_COLD_ADMISSION_H
 
@@ -20,13 +18,14 @@
 
 namespace thymewall {
 
-/// New flows that a cold upstream bears in any second, from the whole fleet.
+/// Limit on the new flows of the whole fleet to one cold upstream.
 struct ColdLimit {
-  double PerSecond_ = 0;      ///< As published for its service; 0 is no limit.
-  double BurstFactor_ = 1;    ///< At most so many times that,
-  double BurstAllowance_ = 0; ///< and so many flows more.
+  double PerSecond_ = 0;      ///< Published for the service; 0 for no limit.
+  double BurstFactor_ = 1;    ///< Multiplier for any single second.
+  double BurstAllowance_ = 0; ///< Flows on top of that.
 
   bool isSet() const { return PerSecond_ > 0; }
+  /// Maximum number of new flows in any second.
   double burstLimit() const {
     return PerSecond_ * BurstFactor_ + BurstAllowance_;
   }
@@ -38,13 +37,14 @@
   return Fields(A) == Fields(B);
 }
 
-/// The fleet as one balancer believes it to be.
+/// The fleet as known to one balancer.
 struct FleetView {
   std::uint64_t SelfHash_ = 0;            ///< Hash of this balancer's name.
-  std::vector<std::uint64_t> PeerHashes_; ///< That it has heard of.
-  /// It has been here for long enough to have heard of the others, and stays.
+  std::vector<std::uint64_t> PeerHashes_; ///< Hashes of the known peers' names.
+  /// The balancer has run for long enough to know its peers and is not about
+  /// to leave.
   bool Settled_ = false;
-  /// How many balancers there are, as it judges; not below those it knows.
+  /// Estimated number of balancers, at least the number known.
   std::size_t EstimatedSize_ = 1;
 };
 inline bool operator==(const FleetView &A, const FleetView &B) {
@@ -54,34 +54,31 @@
   return Fields(A) == Fields(B);
 }
 
-/// How a cold upstream's limit is parted: `Owners_` balancers, each of which
-/// opens a flow at most once in `MinInterval_`.
+/// How the limit of a cold upstream is divided among its owners.
 struct ColdQuota {
-  std::size_t Owners_ = 0; ///< 0: nothing fits into the limit.
-  Micros MinInterval_{};
+  std::size_t Owners_ = 0; ///< 0 if the limit is too low for any.
+  Micros MinInterval_{};   ///< Between two flows of one owner.
 };
-/// As many owners as give each a few flows a second. All parts together are a
-/// sixth of the limit, so that it holds while six times as many balancers as
-/// there should be take themselves for owners, each unaware of the others.
-/// Gain: on virtual time at most .70 of the limit in any second, where a bucket
-/// divided by the members gives 37.5 times it at 300 balancers.
+/// Divides a limit among as many owners as leave each a few flows a second. The
+/// quotas add up to a sixth of the limit, so that it holds even if six times as
+/// many balancers consider themselves owners because they know few peers.
 ColdQuota coldQuota(const ColdLimit &Limit);
 
-/// One balancer's part in all cold upstreams.
+/// Decides for one balancer whether it may open flows to cold upstreams.
 class ColdAdmission {
 public:
   void setFleet(FleetView View);
-  /// Whether this balancer may open a flow to \p Upstream at \p Now.
+  /// Returns whether this balancer may open a flow to \p Upstream at \p Now.
   bool admits(MonoTime Now, Incarnation Upstream, const ColdLimit &Limit);
-  /// It has opened one.
+  /// Charges a flow that was opened to \p Upstream at \p Now.
   void recordOpening(MonoTime Now, Incarnation Upstream,
                      const ColdLimit &Limit);
-  void forget(Incarnation Upstream) { Parts_.erase(raw(Upstream)); }
+  void forget(Incarnation Upstream) { States_.erase(raw(Upstream)); }
 
 private:
-  struct Part {
+  struct State {
     MonoTime NextAt_{};
-    std::uint64_t View_ = 0; ///< `ViewGeneration_` when `Owns_` was worked out.
+    std::uint64_t OwnedAsOf_ = 0; ///< The `ViewGeneration_` of `Owns_`.
     bool Owns_ = false;
   };
   bool owns(Incarnation Upstream, std::size_t Owners) const;
@@ -89,7 +86,7 @@
 
   FleetView View_;
   std::uint64_t ViewGeneration_ = 0;
-  std::unordered_map<std::uint64_t, Part> Parts_;
+  std::unordered_map<std::uint64_t, State> States_;
 };
 
 } // namespace thymewall
--- a/include/thymewall/silence-evidence.h
+++ b/include/thymewall/silence-evidence.h
@@ -1,15 +1,12 @@
 /// \file
-/// How many unanswered requests, seen anywhere in the fleet, speak against an
-/// upstream.
+/// Outlier detection: counts failed requests of each upstream and computes how
+/// many of them it takes to blame the upstream.
 ///
-/// The load pattern: hosts come back after a loss, and the fabric leads most
-/// flows to them in one moment. Answers to what was under way are acknowledged
-/// there, so that the balancers which sent those requests on see silence: of
-/// many upstreams at once, of each about once. An upstream that hangs leaves
-/// request after request unanswered, whatever happens to the others. So silence
-/// counts by how much more of it an upstream has than the rest of its service.
-/// Judged by one request each, 578 of 600 well upstreams got no new flows after
-/// a loss of 80% of 295 hosts.
+/// When hosts return after an outage, the fabric moves many flows to them at
+/// once. The balancers that forwarded the pending requests miss their answers,
+/// about one for each of many healthy upstreams. An upstream that hangs fails
+/// request after request. So the threshold rises with the share of the service
+/// that fails too.
 #ifndef THYMEWALL_SILENCE_EVIDENCE_H
 #define THYMEWALL_SILENCE_EVIDENCE_H
 
@@ -20,50 +17,52 @@
 
 namespace thymewall {
 
-/// Unanswered requests by upstream, which is named by its index in the upstream
-/// table. No clock of its own.
+/// Recent failed requests by upstream, seen by any balancer of the fleet. A
+/// failure is an unanswered request or a short answer, as the user of the class
+/// chooses. Upstreams are given by their indexes in the upstream table.
 class FailureEvidence {
 public:
-  /// A request counts for this long. In a fleet of hundreds an upstream has
-  /// some six requests a second: those of a hang add up within it.
+  /// Time for which a failed request counts. Long enough for an upstream with
+  /// a few requests a second to reach the threshold.
   static constexpr Micros CountingWindow = std::chrono::milliseconds(2000);
-  /// Requests kept of an upstream; more would decide nothing.
+  /// Maximum number of requests kept for an upstream, and upper bound of the
+  /// threshold.
   static constexpr std::size_t MaxRequests = 16;
-  /// The share of well upstreams that chance may leave out: new flows of the
-  /// others fit into what is left, and a smaller one delays the verdict on a
-  /// fifth of a service that hangs.
+  /// Share of healthy upstreams that may reach the threshold by chance. The
+  /// remaining ones can take their flows; a lower rate delays detection.
   static constexpr double DefaultFalsePositiveRate = 0.025;
 
-  /// A request of \p Flow was left unanswered by the upstream. False when it is
-  /// known already.
+  /// Records that a request of \p Flow failed at the upstream. Returns false if
+  /// that is recorded already or the upstream has `MaxRequests`.
   bool add(MonoTime Now, std::uint32_t Upstream, FlowId Flow);
-  /// The upstream has answered.
-  void clear(std::uint32_t Upstream) { Unanswered_.erase(Upstream); }
-  void clearAll() { Unanswered_.clear(); }
-  /// Gives the room of requests that count no more back.
+  /// Forgets the failures of an upstream.
+  void clear(std::uint32_t Upstream) { FailedRequests_.erase(Upstream); }
+  void clearAll() { FailedRequests_.clear(); }
+  /// Removes upstreams without a request that still counts.
   void expire(MonoTime Now);
 
-  /// Requests that count against the upstream now.
+  /// Returns the number of failed requests that count at \p Now.
   std::size_t count(MonoTime Now, std::uint32_t Upstream) const;
-  /// Requests that it takes to believe that the upstream hangs, given how many
-  /// of the other \p Members of its service are silent too.
+  /// Returns how many failed requests it takes to blame the upstream, given how
+  /// many of the other \p Members of its service have any.
   std::size_t
   threshold(MonoTime Now, std::uint32_t Upstream,
             const std::vector<std::uint32_t> &Members,
             double FalsePositiveRate = DefaultFalsePositiveRate) const;
-  /// The same for \p Silent silent ones among \p Others: if silence fell on all
-  /// alike, at most \p FalsePositiveRate of them would have so many requests.
+  /// Returns the threshold where \p Failing of \p Others have failed requests:
+  /// if failures hit all of them at random, at most \p FalsePositiveRate of
+  /// them would reach it.
   static std::size_t
-  thresholdAmong(std::size_t Others, std::size_t Silent,
+  thresholdAmong(std::size_t Others, std::size_t Failing,
                  double FalsePositiveRate = DefaultFalsePositiveRate);
 
 private:
   struct Request {
     FlowId Flow_{};
-    MonoTime CountsUntil_{};
+    MonoTime ExpiresAt_{};
   };
 
-  std::unordered_map<std::uint32_t, std::vector<Request>> Unanswered_;
+  std::unordered_map<std::uint32_t, std::vector<Request>> FailedRequests_;
 };
 
 } // namespace thymewall
--- a/include/thymewall/upstream-list.h
+++ b/include/thymewall/upstream-list.h
@@ -1,6 +1,6 @@
 /// \file
-/// The published list of upstreams as a log of changes, ordered by the revision
-/// that the configuration service gives to each change.
+/// The published list of upstreams, replicated as a log of changes that are
+/// ordered by the revisions of the configuration service.
 #ifndef THYMEWALL_UPSTREAM_LIST_H
 #define THYMEWALL_UPSTREAM_LIST_H
 
@@ -14,20 +14,20 @@
 
 namespace thymewall {
 
-/// An upstream as it is published. `Incarnation_` and `StartTimeMs_` together
-/// are new with every start; most starts have a new `Incarnation_`.
+/// A published upstream. The pair of `Incarnation_` and `StartTimeMs_`
+/// identifies a start; usually the incarnation alone does.
 struct UpstreamEntry {
   Incarnation Incarnation_{};
-  /// Unix milliseconds of this start; 0 where it is not told. Tells apart
-  /// starts with the same `Incarnation_`.
+  /// Time of the start in Unix milliseconds; 0 if it is not published.
+  /// Distinguishes starts that share an incarnation.
   std::uint64_t StartTimeMs_ = 0;
   ServiceId Service_{};
   Endpoint At_;
   std::string DataHall_;
   std::uint32_t Slots_ = 1;
   bool Draining_ = false;
-  MonoTime WarmAt_{};     ///< End of its slow start.
-  std::uint8_t Part_ = 0; ///< Of the published list.
+  MonoTime WarmAt_{};     ///< End of the slow start.
+  std::uint8_t Part_ = 0; ///< Part of the list; see list-parts.h.
 };
 inline bool operator==(const UpstreamEntry &A, const UpstreamEntry &B) {
   auto Fields = [](const UpstreamEntry &E) {
@@ -37,13 +37,13 @@
   return Fields(A) == Fields(B);
 }
 
-/// One upstream's last change; without an entry it is gone.
+/// The last change of an upstream: its entry, or none if it was removed.
 struct UpstreamChange {
   Incarnation Incarnation_{};
   Revision Revision_ = 0;
   std::optional<UpstreamEntry> Entry_;
-  /// `Entry_` was its last one: it is published no more, and may still serve
-  /// the flows that it holds.
+  /// `Entry_` is the last one of an upstream that is no longer published. It
+  /// may still serve its open flows.
   bool Ended_ = false;
 };
 
@@ -52,52 +52,52 @@
          std::tie(B.Incarnation_, B.Revision_, B.Entry_, B.Ended_);
 }
 
-/// Changes that are complete from just after `After_` through `Through_`.
-/// A whole list has `Whole_`: upstreams that it lacks are gone. For a receiver
-/// that is complete through `After_` it only names, in `Unchanged_`, what has
-/// not changed since.
+/// All changes with a revision above `After_` and up to `Through_`. With
+/// `Whole_` it is a snapshot: upstreams that it lacks are removed. In a
+/// snapshot for a receiver that is complete through `After_`, `Unchanged_`
+/// lists the upstreams whose entries it has already.
 struct UpstreamBatch {
   bool Whole_ = false;
   Revision After_ = 0;
   Revision Through_ = 0;
   std::vector<UpstreamChange> Changes_;
   std::vector<Incarnation> Unchanged_;
-  /// Upstreams that have ended lately, with their last entries; told only to
-  /// those that may never have heard of them.
+  /// Recently removed upstreams with their last entries; sent only to receivers
+  /// that may not know them.
   std::vector<UpstreamChange> Ended_{};
-  /// Parts of a whole list that are just what the receiver said it has.
+  /// Parts of a snapshot that match the receiver's digests and are left out.
   ListParts UnchangedParts_{};
 };
 
-/// What the entries of each part are, by incarnation and revision.
+/// A digest of the incarnations and revisions of each part's entries.
 using PartDigests = std::array<std::uint64_t, ListPartCount>;
 
-/// The upstreams, complete through a revision.
+/// A replica of the list, complete through a revision.
 class UpstreamList {
 public:
-  /// How many ends of upstreams are kept, so that a peer which is behind can be
-  /// told of changes alone: a day of today's deployments has about 100.
+  /// Number of removals kept, so that a peer whose list is out of date can get
+  /// changes instead of a snapshot.
   static constexpr std::size_t MaxTombstones = 512;
-  /// Last entries of upstreams that have ended, for balancers that start: flows
-  /// at such an upstream go on for tens of seconds. Up to 30 KB in a message.
+  /// Number of last entries of removed upstreams that are kept for balancers
+  /// that start, since the upstreams' flows may outlive their entries.
   static constexpr std::size_t MaxEndedEntries = 512;
 
-  /// Applies what is newer than `through()` and appends to \p Applied what has
-  /// changed here. False for a batch that starts after `through()`: changes in
-  /// between are missing and nothing was applied.
+  /// Applies the changes newer than `through()` and appends those that took
+  /// effect to \p Applied. Returns false and applies nothing if the batch
+  /// starts after `through()`, so that changes in between are missing.
   bool apply(const UpstreamBatch &Batch, std::vector<UpstreamChange> &Applied);
 
-  /// What is needed by a list that is complete through \p After; the whole list
-  /// when the ends since then are no longer known.
+  /// Returns the changes after \p After, or a snapshot if the removals since
+  /// then are no longer kept.
   UpstreamBatch changesSince(Revision After) const;
-  /// The whole list for a receiver that has entries with these digests, of
-  /// which it doesn't know through which revision they are complete.
+  /// Returns a snapshot without the parts whose digests equal \p Theirs. For a
+  /// receiver that does not know through which revision its list is complete.
   UpstreamBatch diffByDigests(const PartDigests &Theirs) const;
-  /// The entries of some parts; says nothing of what they lack.
+  /// Returns the entries of some parts, not as a snapshot.
   UpstreamBatch entriesIn(const ListParts &Which) const;
   PartDigests digests() const;
 
-  /// The upstreams that have ended lately, the earliest first.
+  /// Returns the recently removed upstreams, oldest first.
   std::vector<UpstreamChange> ended() const {
     return {Ended_.begin(), Ended_.end()};
   }
@@ -119,13 +119,13 @@
   void addTombstone(Incarnation Which, Revision At);
   void addEnded(Incarnation Which, const Row &Last);
   bool hasEnded(Incarnation Which) const;
-  std::uint64_t bornMs(Incarnation Which) const;
+  std::uint64_t lastStartTimeMs(Incarnation Which) const;
   void removeEnded(Incarnation Which);
 
   std::map<Incarnation, Row> Entries_;
   std::map<Revision, Incarnation> Tombstones_;
-  std::deque<UpstreamChange> Ended_; ///< With `Ended_` set, and their entries.
-  Revision TombstonesAfter_ = 0; ///< All ends after it are in `Tombstones_`.
+  std::deque<UpstreamChange> Ended_; ///< With `Ended_` and an entry.
+  Revision TombstonesAfter_ = 0;     ///< `Tombstones_` is complete after it.
   Revision Through_ = 0;
 };
 
--- a/include/thymewall/upstream-table.h
+++ b/include/thymewall/upstream-table.h
@@ -1,6 +1,6 @@
 /// \file
-/// What a balancer knows of each upstream, which upstreams take new flows of a
-/// service now, and the hooks that choose among them.
+/// The state of each upstream as a balancer sees it, the set of upstreams that
+/// are eligible for new flows, and the functions that choose among them.
 #ifndef THYMEWALL_UPSTREAM_TABLE_H
 #define THYMEWALL_UPSTREAM_TABLE_H
 
@@ -12,29 +12,29 @@
 
 namespace thymewall {
 
-/// One upstream. An index stays valid until its row is released; an upstream
-/// that is declared no longer only stops being eligible.
+/// State of an upstream. Its index stays valid until the row is released; an
+/// upstream that is no longer declared only stops being eligible.
 struct UpstreamRow {
   UpstreamId Id_{};
   Endpoint At_;
-  Incarnation Incarnation_{}; ///< As last seen in its own datagrams.
+  Incarnation Incarnation_{}; ///< From its latest datagram.
   std::uint32_t Slots_ = 1;
-  std::uint32_t OwnFlows_ = 0;      ///< Flows whose home is this balancer.
-  std::uint32_t InFlight_ = 0;      ///< Requests sent by this balancer.
-  std::uint32_t ReportedFlows_ = 0; ///< Its own count, as last reported.
-  std::uint32_t ConsecutiveFailures_ = 0;  ///< In a row.
-  std::uint32_t ConsecutiveEjections_ = 0; ///< In a row.
+  std::uint32_t OwnFlows_ = 0;      ///< Flows homed at this balancer.
+  std::uint32_t InFlight_ = 0;      ///< Pending requests of this balancer.
+  std::uint32_t ReportedFlows_ = 0; ///< As reported by the upstream.
+  std::uint32_t ConsecutiveFailures_ = 0;
+  std::uint32_t ConsecutiveEjections_ = 0;
   MonoTime EjectedUntil_{};
-  MonoTime WarmAt_{}; ///< End of its cold start.
+  MonoTime WarmAt_{}; ///< End of the slow start.
   bool Declared_ = false;
-  bool Leaving_ = false;   ///< The host list says so.
-  bool Evacuated_ = false; ///< So is its data hall.
-  bool Dead_ = false;      ///< Proved; until a check reaches it.
+  bool Leaving_ = false;   ///< Draining, or its host is leaving.
+  bool Evacuated_ = false; ///< Its data hall is evacuated.
+  bool Dead_ = false;      ///< Proved by a check; until one succeeds.
   bool RemembersRequests_ = false;
 };
 
-/// The upstreams that take new flows of a service, with the running sum of
-/// their slots, which lets a draw weighted by slots cost O(log n).
+/// The upstreams eligible for new flows of a service, with prefix sums of their
+/// slots for weighted draws in O(log n).
 struct EligibleSet {
   std::vector<std::uint32_t> Indexes_; ///< Into the upstream table.
   std::vector<std::uint64_t> CumulativeSlots_;
@@ -45,8 +45,8 @@
   void add(std::uint32_t Index, std::uint32_t Slots);
 };
 
-/// What a chooser sees. It returns an index into `Eligible_`, which is not
-/// empty.
+/// Input of a `Chooser`, which returns an index into `Eligible_`. That set is
+/// not empty.
 struct ChooserInput {
   FlowKey Flow_;
   const EligibleSet &Eligible_;
@@ -55,28 +55,31 @@
 };
 using Chooser = std::function<std::size_t(const ChooserInput &)>;
 
-/// The first candidate, whatever its load.
+/// Returns the first candidate, whatever its load.
 std::size_t chooseByHash(const ChooserInput &C);
-/// The less loaded of two candidates, by this balancer's own flows per slot.
+/// Returns the less loaded of two candidates, by this balancer's own flows per
+/// slot.
 std::size_t chooseByOwnFlows(const ChooserInput &C);
-/// The less loaded of two candidates, by the requests in progress that this
-/// balancer sees, then by its own flows.
+/// Returns the less loaded of two candidates, by this balancer's requests in
+/// progress per slot, then by its own flows.
 std::size_t chooseByInProgress(const ChooserInput &C);
-/// The less loaded of two candidates, by the upstreams' own reports.
+/// Returns the less loaded of two candidates, by the flows per slot that the
+/// upstreams report.
 std::size_t chooseByReportedFlows(const ChooserInput &C);
 
-/// Two different candidates for a flow, drawn from its hash and weighted by
-/// slots; both are 0 when there is just one.
+/// Draws two different candidates for a flow from its hash, weighted by slots.
+/// Both are 0 if only one upstream is eligible.
 std::pair<std::size_t, std::size_t> drawCandidates(const ChooserInput &C);
 
+/// The upstreams of a balancer and their health.
 class UpstreamTable {
 public:
-  /// Ramp of a cold upstream, ejection time and the failures that lead to it.
+  /// Time in which the share of new flows of a cold upstream ramps up.
   static constexpr Micros SlowStartDuration = std::chrono::seconds(5);
   static constexpr Micros BaseEjectionTime = std::chrono::seconds(2);
   static constexpr std::uint32_t DefaultFailureThreshold = 3;
-  /// Ejections in a row double up to this many times the first: a living
-  /// upstream is seen to serve before, a dead one costs callers less and less.
+  /// Consecutive ejections double in length up to this multiple of
+  /// `BaseEjectionTime`.
   static constexpr std::uint32_t MaxEjectionMultiplier = 4;
 
   explicit UpstreamTable(
@@ -84,48 +87,53 @@
       : FailureThreshold_(FailureThreshold) {}
 
   void declare(const Declaration &D, MonoTime Now);
-  /// Adds an upstream or changes the one with this identifier; gives its index.
+  /// Adds an upstream or updates the one with this identifier; returns its
+  /// index.
   std::uint32_t addOrUpdate(UpstreamId Id, const Endpoint &At,
                             std::uint32_t Slots, MonoTime WarmAt);
-  /// The upstream takes no new flows any more; its row stays.
+  /// Ends the declaration of an upstream but keeps its row.
   void withdraw(std::uint32_t Index);
-  /// Gives the row of a withdrawn upstream back; its index may be used again.
+  /// Frees the row of a withdrawn upstream; its index may be reused.
   void release(std::uint32_t Index);
   void setLeaving(UpstreamId Id, bool Leaving);
-  /// Notes the incarnation that a datagram of an upstream or a route showed.
+  /// Records the incarnation from a datagram or a route. A new one starts the
+  /// slow start.
   void recordIncarnation(std::uint32_t Index, Incarnation Seen, MonoTime Now);
-  /// Adds an upstream that a route names and no declaration does any more.
+  /// Adds an upstream that is known only from a route; returns its index.
   std::uint32_t addUndeclared(UpstreamId Id, const Endpoint &At);
   void recordSuccess(std::uint32_t Index);
-  /// Counts a failure; after some in a row the upstream is ejected until
-  /// \p Now plus an ejection time that grows with ejections in a row and is
-  /// spread by \p Jitter (0 to 1).
+  /// Counts a failure. Consecutive ones eject the upstream, for a time that
+  /// grows with consecutive ejections and is scaled by 0.5 + \p Jitter, which
+  /// is between 0 and 1.
   void recordFailure(std::uint32_t Index, MonoTime Now, double Jitter);
-  /// Gives the upstream no new flows before \p Until.
+  /// Ejects the upstream until \p Until, or longer if it already is.
   void eject(std::uint32_t Index, MonoTime Until);
-  /// A cold start of the upstream, or a return, begins at \p Start.
+  /// Begins a slow start at \p Start, after a start or an ejection.
   void beginSlowStart(std::uint32_t Index, MonoTime Start);
-  /// Gives a dead upstream no new flows while another one lives.
+  /// Marks an upstream as dead: it is not eligible while another one is alive.
   void setDead(std::uint32_t Index, bool Dead);
-  /// Forgets every death, ejection and failure (after a late wake).
+  /// Clears all deaths, ejections and failures, after the process was
+  /// suspended.
   void resetHealth();
-  /// The same of one upstream, which has started again.
+  /// The same for one upstream, after its restart.
   void resetHealth(std::uint32_t Index);
 
-  /// An evacuated upstream gets no new flows, whatever becomes of the others.
+  /// Marks an upstream as evacuated: it is never eligible.
   void setEvacuated(std::uint32_t Index, bool Evacuated);
 
-  /// Takes the leaving, the evacuated and the dead out of \p Selected, and the
-  /// ejected, but of these never more than half of the living that may be used.
-  /// If all of those are dead, all are taken; none, where others are evacuated:
-  /// then it is known that nobody can serve. Holds until `generation` changes.
+  /// Sets \p Into to the eligible upstreams of \p Selected: those that are not
+  /// leaving, evacuated, dead or ejected. Ejections are ignored if they would
+  /// leave out more than half of the upstreams alive. If none is alive, the
+  /// dead are eligible too, unless an upstream of \p Selected is evacuated. The
+  /// result is valid until `generation` changes.
   void selectEligible(const std::vector<std::uint32_t> &Selected, MonoTime Now,
                       EligibleSet &Into) const;
-  /// Changes whenever `selectEligible` may give something else.
+  /// Changes whenever the result of `selectEligible` may change.
   std::uint64_t generation() const { return Generation_; }
-  /// Ends the ejections that are over.
+  /// Changes `generation` if an ejection has ended by \p Now.
   void expireEjections(MonoTime Now);
 
+  /// Index of no upstream.
   static constexpr std::uint32_t None = ~0U;
   std::uint32_t findById(UpstreamId Id) const;
   std::uint32_t findByEndpoint(const Endpoint &At) const;
@@ -141,7 +149,7 @@
   std::unordered_map<Endpoint, std::uint32_t, EndpointHash> ByEndpoint_;
   std::uint32_t FailureThreshold_;
   std::uint64_t Generation_ = 1;
-  MonoTime NextEjectionEnd_ = MonoTime::max(); ///< Of an ejected upstream.
+  MonoTime NextEjectionEnd_ = MonoTime::max(); ///< The earliest one.
   bool HasDeclaration_ = false;
 };
 
--- a/include/thymewall/upstream-warning.h
+++ b/include/thymewall/upstream-warning.h
@@ -1,6 +1,6 @@
 /// \file
-/// Evidence against an upstream that balancers tell each other. Each draws its
-/// own conclusion.
+/// Evidence against an upstream that balancers exchange. Each balancer draws
+/// its own conclusions from it.
 #ifndef THYMEWALL_UPSTREAM_WARNING_H
 #define THYMEWALL_UPSTREAM_WARNING_H
 
@@ -10,17 +10,16 @@
 
 struct UpstreamWarning {
   enum class Kind : std::uint8_t {
-    Dead,    ///< A check proved it to the balancer that tells.
-    Stalled, ///< It has left a request unanswered.
-    Failing  ///< It has answered a request by far too little.
+    Dead,    ///< The sender's check of the upstream failed.
+    Stalled, ///< A request was left unanswered.
+    Failing  ///< An answer was much shorter than usual.
   };
   Incarnation Upstream_{};
   Kind Kind_ = Kind::Dead;
-  /// The flow of the request: what tells one piece of evidence from another.
-  /// None for a dead one.
+  /// Flow of the request; identifies the evidence. Not set for `Kind::Dead`.
   FlowId Flow_{};
-  /// Of the start that is meant, as it is published: a warning of one start
-  /// says nothing of the next one under the same incarnation.
+  /// Published start time, in Unix milliseconds, of the start that the warning
+  /// is about. It does not apply to a later start under the same incarnation.
   std::uint64_t StartTimeMs_ = 0;
 };
 inline bool operator==(const UpstreamWarning &A, const UpstreamWarning &B) {
--- a/src/answer-sizes.cc
+++ b/src/answer-sizes.cc
@@ -9,15 +9,15 @@
 
 namespace {
 
-/// Half an octave a bucket; what is outside counts at the edges.
+/// Logarithmic buckets of half an octave; sizes outside the range are clamped.
 constexpr unsigned Buckets = 32;
 constexpr double SmallestSize = 16;
 constexpr double LargestSize = 1 << 20;
-/// The share of short answers follows the last 32 or so.
-constexpr double ShareWeight = 1.0 / 32;
-/// When more than half are short, it is not some upstreams that fail: the
-/// address gives something else now.
-constexpr double ChangedShare = 0.5;
+/// Weight of the newest answer in the moving average of short answers.
+constexpr double SmoothingFactor = 1.0 / 32;
+/// Share of short answers above which the baseline is discarded: the service
+/// itself now gives other answers.
+constexpr double ResetShare = 0.5;
 
 using Axis =
     boost::histogram::axis::regular<double,
@@ -28,72 +28,72 @@
       std::vector<double>(), Axis(Buckets, SmallestSize, LargestSize));
 }
 
-/// What is usual at one address.
-class UsualSizes {
+/// Answer sizes of one address.
+class SizeBaseline {
 public:
-  bool isShort(std::uint32_t Bytes);
+  bool recordAndCheckShort(std::uint32_t Bytes);
 
 private:
-  void learn(std::uint32_t Bytes);
+  void addSample(std::uint32_t Bytes);
 
-  decltype(emptyHistogram()) Right_ = emptyHistogram();
-  std::uint32_t Known_ = 0;
-  double Shortest_ = 0;   ///< Of the usual ones, in bytes.
-  double ShortShare_ = 0; ///< Of the last answers, by exponential decay.
+  decltype(emptyHistogram()) Histogram_ = emptyHistogram();
+  std::uint32_t Samples_ = 0;
+  double ShortestUsual_ = 0; ///< Bytes; updated every `MinSamples`.
+  double ShortShare_ = 0;    ///< Exponential moving average.
 };
 
-bool UsualSizes::isShort(std::uint32_t Bytes) {
-  bool Short = Known_ >= AnswerSizes::MinSamples &&
-               Bytes * AnswerSizes::ShortFactor < Shortest_;
-  ShortShare_ += ((Short ? 1 : 0) - ShortShare_) * ShareWeight;
-  if (ShortShare_ > ChangedShare)
-    *this = UsualSizes();
+bool SizeBaseline::recordAndCheckShort(std::uint32_t Bytes) {
+  bool Short = Samples_ >= AnswerSizes::MinSamples &&
+               Bytes * AnswerSizes::ShortFactor < ShortestUsual_;
+  ShortShare_ += ((Short ? 1 : 0) - ShortShare_) * SmoothingFactor;
+  if (ShortShare_ > ResetShare)
+    *this = SizeBaseline();
   else if (!Short)
-    learn(Bytes);
+    addSample(Bytes);
   return Short;
 }
 
-void UsualSizes::learn(std::uint32_t Bytes) {
-  Right_(std::clamp<double>(Bytes, SmallestSize, LargestSize - 1));
-  ++Known_;
-  if (Known_ % AnswerSizes::MinSamples != 0)
+void SizeBaseline::addSample(std::uint32_t Bytes) {
+  Histogram_(std::clamp<double>(Bytes, SmallestSize, LargestSize - 1));
+  ++Samples_;
+  if (Samples_ % AnswerSizes::MinSamples != 0)
     return;
-  double Unusual = AnswerSizes::BaselineQuantile * Known_;
+  double Unusual = AnswerSizes::BaselineQuantile * Samples_;
   double Below = 0;
-  const Axis &Sizes = Right_.axis();
+  const Axis &Sizes = Histogram_.axis();
   for (int Bucket = 0; Bucket < Sizes.size(); ++Bucket) {
-    Below += Right_.at(Bucket);
-    Shortest_ = Sizes.value(Bucket);
+    Below += Histogram_.at(Bucket);
+    ShortestUsual_ = Sizes.value(Bucket);
     if (Below > Unusual)
       break;
   }
-  if (Known_ < AnswerSizes::MaxSamples)
+  if (Samples_ < AnswerSizes::MaxSamples)
     return;
-  Right_ *= 0.5;
-  Known_ /= 2;
+  Histogram_ *= 0.5;
+  Samples_ /= 2;
 }
 
 } // namespace
 
 class AnswerSizes::Impl {
 public:
-  bool isShort(const Endpoint &Address, std::uint32_t Bytes) {
-    bool Full = Usual_.size() >= MaxAddresses;
-    if (Full && Usual_.count(Address) == 0)
+  bool recordAndCheckShort(const Endpoint &Address, std::uint32_t Bytes) {
+    bool Full = Baselines_.size() >= MaxAddresses;
+    if (Full && Baselines_.count(Address) == 0)
       return false;
-    return Usual_[Address].isShort(Bytes);
+    return Baselines_[Address].recordAndCheckShort(Bytes);
   }
 
 private:
-  std::unordered_map<Endpoint, UsualSizes, EndpointHash> Usual_;
+  std::unordered_map<Endpoint, SizeBaseline, EndpointHash> Baselines_;
 };
 
 AnswerSizes::AnswerSizes() : Impl_(std::make_unique<Impl>()) {}
 AnswerSizes::AnswerSizes(AnswerSizes &&) noexcept = default;
 AnswerSizes &AnswerSizes::operator=(AnswerSizes &&) noexcept = default;
 AnswerSizes::~AnswerSizes() = default;
-bool AnswerSizes::isShort(const Endpoint &Address, std::uint32_t Bytes) {
-  return Impl_->isShort(Address, Bytes);
+bool AnswerSizes::recordAndCheckShort(const Endpoint &Address, std::uint32_t Bytes) {
+  return Impl_->recordAndCheckShort(Address, Bytes);
 }
 
 } // namespace thymewall
--- a/src/cold-admission.cc
+++ b/src/cold-admission.cc
@@ -7,31 +7,30 @@
 
 namespace {
 
-/// Balancers that may take themselves for owners for each one that should:
-/// two where a fleet is cut in halves; up to six where each has heard of 40% of
-/// 300 others (with 4, the fullest second of a limit of 2 was 1.25 of what is
-/// allowed, on virtual time).
-constexpr double Believing = 6;
-/// Flows a second of one owner. More, and an owner's own callers are too few to
-/// use the part (6 new flows a second at each of 90 balancers); fewer, and the
-/// parts of many owners round up to more than the whole.
-constexpr double FlowsOfOwner = 4;
-/// Keeps two flows of one owner, a whole second apart by its own clock, from
-/// arriving within one: the network delays each by another time.
-constexpr double Apart = 1.02;
+/// Number of balancers that may consider themselves owners for each actual
+/// owner: two in a partitioned fleet, more where balancers know few peers.
+constexpr double MaxOwnerOvercount = 6;
+/// Target rate of one owner, in flows a second. With a higher one an owner has
+/// too few callers to use its quota; with a lower one rounding up the quotas of
+/// many owners exceeds the limit.
+constexpr double FlowsPerOwner = 4;
+/// Lengthens the interval between two flows of one owner, so that network
+/// jitter does not bring them within the same second.
+constexpr double IntervalMargin = 1.02;
 
 } // namespace
 
 ColdQuota coldQuota(const ColdLimit &Limit) {
-  double Whole = std::min(Limit.PerSecond_, Limit.burstLimit() / Believing);
-  // The flows that one owner may have in a second are a whole number.
-  double Owners = std::max(1.0, std::round(Whole / FlowsOfOwner));
-  double Flows = std::floor(Limit.burstLimit() / Believing / Owners);
+  double Total =
+      std::min(Limit.PerSecond_, Limit.burstLimit() / MaxOwnerOvercount);
+  // Each owner gets a whole number of flows a second.
+  double Owners = std::max(1.0, std::round(Total / FlowsPerOwner));
+  double Flows = std::floor(Limit.burstLimit() / MaxOwnerOvercount / Owners);
   if (Flows < 1)
     return {};
-  double Rate = std::min(Whole / Owners, Flows);
+  double Rate = std::min(Total / Owners, Flows);
   return {static_cast<std::size_t>(Owners),
-          Micros(static_cast<Micros::rep>(1e6 * Apart / Rate))};
+          Micros(static_cast<Micros::rep>(1e6 * IntervalMargin / Rate))};
 }
 
 void ColdAdmission::setFleet(FleetView View) {
@@ -43,38 +42,38 @@
 
 bool ColdAdmission::admits(MonoTime Now, Incarnation Upstream,
                            const ColdLimit &Limit) {
-  ColdQuota Parts = coldQuota(Limit);
-  if (Parts.Owners_ == 0 || !View_.Settled_)
+  ColdQuota Quota = coldQuota(Limit);
+  if (Quota.Owners_ == 0 || !View_.Settled_)
     return false;
-  Part &P = Parts_[raw(Upstream)];
-  if (Now < P.NextAt_)
+  State &S = States_[raw(Upstream)];
+  if (Now < S.NextAt_)
     return false;
-  if (P.View_ != ViewGeneration_) {
-    P.View_ = ViewGeneration_;
-    P.Owns_ = owns(Upstream, Parts.Owners_);
+  if (S.OwnedAsOf_ != ViewGeneration_) {
+    S.OwnedAsOf_ = ViewGeneration_;
+    S.Owns_ = owns(Upstream, Quota.Owners_);
   }
-  return P.Owns_;
+  return S.Owns_;
 }
 
 void ColdAdmission::recordOpening(MonoTime Now, Incarnation Upstream,
                                   const ColdLimit &Limit) {
-  Parts_[raw(Upstream)].NextAt_ = Now + coldQuota(Limit).MinInterval_;
+  States_[raw(Upstream)].NextAt_ = Now + coldQuota(Limit).MinInterval_;
 }
 
 bool ColdAdmission::owns(Incarnation Upstream, std::size_t Owners) const {
   std::uint64_t Own = hashPair(View_.SelfHash_, raw(Upstream));
-  auto Before =
+  auto Preceding =
       std::count_if(View_.PeerHashes_.begin(), View_.PeerHashes_.end(),
                     [&](std::uint64_t Other) {
                       return hashPair(Other, raw(Upstream)) < Own;
                     });
-  bool AmongKnown = static_cast<std::size_t>(Before) < Owners;
+  bool OwnsAmongKnown = static_cast<std::size_t>(Preceding) < Owners;
   bool KnowsAll = View_.EstimatedSize_ <= View_.PeerHashes_.size() + 1;
-  return AmongKnown && (KnowsAll || estimatedRank(Own) < Owners);
+  return OwnsAmongKnown && (KnowsAll || estimatedRank(Own) < Owners);
 }
 
-/// How many balancers of the whole fleet come before one with this hash. Where
-/// most are not known, a place among the known alone makes owners of many.
+/// Estimates how many balancers of the whole fleet precede one with this hash.
+/// Where few peers are known, ranking among them alone makes too many owners.
 std::size_t ColdAdmission::estimatedRank(std::uint64_t Own) const {
   double Share = std::ldexp(static_cast<double>(Own), -64);
   return static_cast<std::size_t>(Share *
--- a/src/packet-balancer-evidence.cc
+++ b/src/packet-balancer-evidence.cc
@@ -205,7 +205,7 @@
     return;
   Services_[raw(Details_[Row.Upstream_].Service_)].RecentAnswers_.add();
   std::uint32_t Bytes = P.Acknowledged_ - Row.Acknowledged_;
-  if (Sizes_.isShort(P.Service_, Bytes))
+  if (Sizes_.recordAndCheckShort(P.Service_, Bytes))
     noteFailing(Row.Upstream_, Row.Flow_, true);
   else
     Details_[Row.Upstream_].Failings_ = 0;
--- a/src/path-witness.h
+++ b/src/path-witness.h
@@ -1,13 +1,9 @@
 /// \file
-/// What silence of an upstream proves while this host's own link may be full.
-/// Pure.
+/// Tells a dead upstream from congestion of this host's own link.
 ///
-/// Load pattern: one host reads a large document, or hands one on, over a thin
-/// link: 350 KB fill 10 Mbit/s for 0.3 s. Whatever is asked meanwhile gets its
-/// answer behind the document, so that every upstream looks dead, and open
-/// flows at upstreams that serve would be reset. So peers are asked at the
-/// moment of each try: only where one of them answers in time, an upstream
-/// could have answered too.
+/// A large transfer over a slow link delays all answers, so that checks of
+/// healthy upstreams time out. So peers are probed at the start of each
+/// attempt, and its timeout counts only if one of them answered in time.
 #ifndef THYMEWALL_SRC_PATH_WITNESS_H
 #define THYMEWALL_SRC_PATH_WITNESS_H
 
@@ -17,18 +13,17 @@
 
 namespace thymewall::detail {
 
-/// Whether questions to peers are answered in time.
+/// Records whether probes of peers are answered in time.
 class PeerProbes {
 public:
-  /// Half of the time that an upstream has, so that its answer would have come
-  /// too, had it been sent a little later.
+  /// Half of the timeout of an attempt, so that an answer of the upstream would
+  /// have arrived too.
   static constexpr Micros AnswerTimeout = std::chrono::milliseconds(40);
-  /// Tries that begin together share one question: 40 upstreams are checked in
-  /// one moment when a third of a service dies.
+  /// Attempts that begin within this time share one probe.
   static constexpr Micros MinProbeInterval = std::chrono::milliseconds(10);
 
-  /// True when peers are to be asked now. `lastProbeAt` is the question that
-  /// stands for a try that begins at \p Now.
+  /// Returns true if the caller must probe peers now. In either case
+  /// `lastProbeAt` is the probe for an attempt that begins at \p Now.
   bool shouldProbe(MonoTime Now) {
     if (Now - ProbedAt_ < MinProbeInterval)
       return false;
@@ -36,12 +31,13 @@
     return true;
   }
   MonoTime lastProbeAt() const { return ProbedAt_; }
-  /// A peer has answered the question of \p ProbedAt.
+  /// Records that a peer answered the probe sent at \p ProbedAt.
   void recordAnswer(MonoTime ProbedAt, MonoTime Now) {
     if (Now - ProbedAt <= AnswerTimeout)
       LatestAnswered_ = std::max(LatestAnswered_, ProbedAt);
   }
-  /// The question of \p ProbedAt, or a later one, was answered in time.
+  /// Returns whether the probe sent at \p ProbedAt or a later one was answered
+  /// in time.
   bool answeredSince(MonoTime ProbedAt) const {
     return LatestAnswered_ >= ProbedAt;
   }
@@ -51,17 +47,18 @@
   MonoTime LatestAnswered_{};
 };
 
-/// The tries of one check.
+/// Counts the timed-out attempts of a check.
 class CheckAttempts {
 public:
-  /// One lost packet proves nothing.
+  /// Timeouts that prove an upstream dead: more than one, since packets get
+  /// lost.
   static constexpr int TimeoutsToProve = 2;
-  /// A link that is full for longer than these take leaves a check unclear.
+  /// Attempts after which a check without proof is unclear.
   static constexpr int MaxAttempts = 4;
 
   enum class Next : std::uint8_t { TryAgain, Dead, Unclear };
 
-  /// A try met silence; \p PathWorked: the path worked meanwhile.
+  /// Records a timeout; it counts as proof only if \p PathWorked.
   Next recordTimeout(bool PathWorked) {
     ++Timeouts_;
     ProvenTimeouts_ += PathWorked ? 1 : 0;
--- a/src/silence-evidence.cc
+++ b/src/silence-evidence.cc
@@ -6,34 +6,34 @@
 namespace thymewall {
 
 bool FailureEvidence::add(MonoTime Now, std::uint32_t Upstream, FlowId Flow) {
-  std::vector<Request> &Of = Unanswered_[Upstream];
-  Of.erase(
-      std::remove_if(Of.begin(), Of.end(),
-                     [Now](const Request &R) { return R.CountsUntil_ <= Now; }),
-      Of.end());
-  bool Known = std::any_of(Of.begin(), Of.end(), [Flow](const Request &R) {
-    return R.Flow_ == Flow;
-  });
-  if (Known || Of.size() >= MaxRequests)
+  std::vector<Request> &Requests = FailedRequests_[Upstream];
+  Requests.erase(
+      std::remove_if(Requests.begin(), Requests.end(),
+                     [Now](const Request &R) { return R.ExpiresAt_ <= Now; }),
+      Requests.end());
+  bool Known =
+      std::any_of(Requests.begin(), Requests.end(),
+                  [Flow](const Request &R) { return R.Flow_ == Flow; });
+  if (Known || Requests.size() >= MaxRequests)
     return false;
-  Of.push_back({Flow, Now + CountingWindow});
+  Requests.push_back({Flow, Now + CountingWindow});
   return true;
 }
 
 void FailureEvidence::expire(MonoTime Now) {
-  for (auto Item = Unanswered_.begin(); Item != Unanswered_.end();)
-    Item = count(Now, Item->first) == 0 ? Unanswered_.erase(Item)
+  for (auto Item = FailedRequests_.begin(); Item != FailedRequests_.end();)
+    Item = count(Now, Item->first) == 0 ? FailedRequests_.erase(Item)
                                         : std::next(Item);
 }
 
 std::size_t FailureEvidence::count(MonoTime Now, std::uint32_t Upstream) const {
-  auto Known = Unanswered_.find(Upstream);
-  if (Known == Unanswered_.end())
+  auto Found = FailedRequests_.find(Upstream);
+  if (Found == FailedRequests_.end())
     return 0;
-  const std::vector<Request> &Of = Known->second;
+  const std::vector<Request> &Requests = Found->second;
   return static_cast<std::size_t>(
-      std::count_if(Of.begin(), Of.end(),
-                    [Now](const Request &R) { return R.CountsUntil_ > Now; }));
+      std::count_if(Requests.begin(), Requests.end(),
+                    [Now](const Request &R) { return R.ExpiresAt_ > Now; }));
 }
 
 std::size_t
@@ -41,35 +41,34 @@
                            const std::vector<std::uint32_t> &Members,
                            double FalsePositiveRate) const {
   std::size_t Others = 0;
-  std::size_t Silent = 0;
+  std::size_t Failing = 0;
   for (std::uint32_t Member : Members) {
     if (Member == Upstream)
       continue;
     ++Others;
     if (count(Now, Member) > 0)
-      ++Silent;
+      ++Failing;
   }
-  return thresholdAmong(Others, Silent, FalsePositiveRate);
+  return thresholdAmong(Others, Failing, FalsePositiveRate);
 }
 
 std::size_t FailureEvidence::thresholdAmong(std::size_t Others,
-                                            std::size_t Silent,
+                                            std::size_t Failing,
                                             double FalsePositiveRate) {
-  // Half an upstream more, so that silence of all is not without bound.
-  double Clean = (static_cast<double>(Others - Silent) + 0.5) /
-                 (static_cast<double>(Others) + 0.5);
-  // Requests that fall on upstreams by chance leave this share of them clean
-  // when each has so many in the mean.
-  double Mean = -std::log(Clean);
-  double Exactly = Clean; // the chance of no request
-  double Tail = 1 - Exactly;
-  std::size_t Needed = 1;
-  while (Tail > FalsePositiveRate && Needed < MaxRequests) {
-    Exactly *= Mean / static_cast<double>(Needed);
-    Tail -= Exactly;
-    ++Needed;
+  // Adds half an upstream, so that the logarithm is finite if all are failing.
+  double Unaffected = (static_cast<double>(Others - Failing) + 0.5) /
+                      (static_cast<double>(Others) + 0.5);
+  // Mean of the Poisson distribution in which this share has no failure.
+  double Mean = -std::log(Unaffected);
+  double Probability = Unaffected; // of exactly `Threshold - 1` failures
+  double Tail = 1 - Probability;
+  std::size_t Threshold = 1;
+  while (Tail > FalsePositiveRate && Threshold < MaxRequests) {
+    Probability *= Mean / static_cast<double>(Threshold);
+    Tail -= Probability;
+    ++Threshold;
   }
-  return Needed;
+  return Threshold;
 }
 
 } // namespace thymewall
--- a/src/upstream-codec.cc
+++ b/src/upstream-codec.cc
@@ -8,9 +8,9 @@
 
 using Json = nlohmann::json;
 
-constexpr std::size_t V4Start = 12; ///< Of an IPv4 address in `Address_`.
-/// Fields of a change without an entry, and with one.
-constexpr std::size_t EndFields = 2;
+constexpr std::size_t V4Start = 12; ///< Offset of an IPv4 address.
+/// Number of fields of a removal and of a change with an entry.
+constexpr std::size_t RemovalFields = 2;
 constexpr std::size_t EntryFields = 10;
 
 std::int64_t millisLeft(MonoTime Until, MonoTime Now) {
@@ -25,7 +25,7 @@
                     Mapped.Address_.begin());
 }
 
-/// An IPv4 address and its port as one number, others as text.
+/// Encodes an IPv4 address and port as one number, others as text.
 Json encodeAddress(const Endpoint &At) {
   if (!isV4(At))
     return formatEndpoint(At);
@@ -43,15 +43,15 @@
                       static_cast<std::uint16_t>(Number));
 }
 
-/// What many changes of a message share and name by its place.
-struct Shared {
-  std::vector<std::string> Halls_;
+/// Values of a message that its changes refer to by index.
+struct ValueTable {
+  std::vector<std::string> DataHalls_;
   std::vector<std::uint32_t> Services_;
 };
 
-/// The place of a value, which is added if need be.
+/// Returns the index of a value, which is appended if it is missing.
 template <typename T>
-std::size_t placeOf(const T &Value, std::vector<T> &Values) {
+std::size_t indexOrAppend(const T &Value, std::vector<T> &Values) {
   auto Known = std::find(Values.begin(), Values.end(), Value);
   if (Known != Values.end())
     return static_cast<std::size_t>(Known - Values.begin());
@@ -59,31 +59,33 @@
   return Values.size() - 1;
 }
 
-Json encodeChange(const UpstreamChange &Change, MonoTime Now, Shared &Names) {
+Json encodeChange(const UpstreamChange &Change, MonoTime Now,
+                  ValueTable &Table) {
   if (!Change.Entry_)
     return Json::array({raw(Change.Incarnation_), Change.Revision_});
   const UpstreamEntry &E = *Change.Entry_;
-  return Json::array({raw(Change.Incarnation_), Change.Revision_,
-                      placeOf(raw(E.Service_), Names.Services_),
-                      encodeAddress(E.At_), placeOf(E.DataHall_, Names.Halls_),
-                      E.Slots_, E.Draining_, millisLeft(E.WarmAt_, Now),
-                      E.StartTimeMs_, E.Part_});
+  return Json::array(
+      {raw(Change.Incarnation_), Change.Revision_,
+       indexOrAppend(raw(E.Service_), Table.Services_), encodeAddress(E.At_),
+       indexOrAppend(E.DataHall_, Table.DataHalls_), E.Slots_, E.Draining_,
+       millisLeft(E.WarmAt_, Now), E.StartTimeMs_, E.Part_});
 }
 
-UpstreamChange decodeChange(const Json &J, MonoTime Now, const Shared &Names) {
+UpstreamChange decodeChange(const Json &J, MonoTime Now,
+                            const ValueTable &Table) {
   UpstreamChange Change;
   Change.Incarnation_ = static_cast<Incarnation>(J.at(0).get<std::uint64_t>());
   Change.Revision_ = J.at(1).get<Revision>();
-  if (J.size() == EndFields)
+  if (J.size() == RemovalFields)
     return Change;
   if (J.size() != EntryFields)
-    throw std::invalid_argument("not a change");
+    throw std::invalid_argument("upstream change has a wrong number of fields");
   UpstreamEntry E;
   E.Incarnation_ = Change.Incarnation_;
   E.Service_ =
-      static_cast<ServiceId>(Names.Services_.at(J.at(2).get<std::size_t>()));
+      static_cast<ServiceId>(Table.Services_.at(J.at(2).get<std::size_t>()));
   E.At_ = decodeAddress(J.at(3));
-  E.DataHall_ = Names.Halls_.at(J.at(4).get<std::size_t>());
+  E.DataHall_ = Table.DataHalls_.at(J.at(4).get<std::size_t>());
   E.Slots_ = J.at(5).get<std::uint32_t>();
   E.Draining_ = J.at(6).get<bool>();
   E.WarmAt_ = Now + std::chrono::milliseconds(J.at(7).get<std::uint32_t>());
@@ -96,26 +98,26 @@
 } // namespace
 
 Endpoint decodeEndpoint(const Json &J) {
-  Endpoint Where = parseEndpoint(J.get_ref<const std::string &>());
-  if (Where.empty())
-    throw std::invalid_argument("no address");
-  return Where;
+  Endpoint Parsed = parseEndpoint(J.get_ref<const std::string &>());
+  if (Parsed.empty())
+    throw std::invalid_argument("invalid address or port");
+  return Parsed;
 }
 
 Json encodeChanges(const std::vector<UpstreamChange> &Changes, MonoTime Now) {
-  Shared Names;
+  ValueTable Table;
   Json Rows = Json::array();
   for (const UpstreamChange &Change : Changes)
-    Rows.push_back(encodeChange(Change, Now, Names));
-  return Json::array({Names.Halls_, Names.Services_, std::move(Rows)});
+    Rows.push_back(encodeChange(Change, Now, Table));
+  return Json::array({Table.DataHalls_, Table.Services_, std::move(Rows)});
 }
 
 std::vector<UpstreamChange> decodeChanges(const Json &J, MonoTime Now) {
-  Shared Names{J.at(0).get<std::vector<std::string>>(),
-               J.at(1).get<std::vector<std::uint32_t>>()};
+  ValueTable Table{J.at(0).get<std::vector<std::string>>(),
+                   J.at(1).get<std::vector<std::uint32_t>>()};
   std::vector<UpstreamChange> Changes;
   for (const Json &Row : J.at(2))
-    Changes.push_back(decodeChange(Row, Now, Names));
+    Changes.push_back(decodeChange(Row, Now, Table));
   return Changes;
 }
 
--- a/src/upstream-codec.h
+++ b/src/upstream-codec.h
@@ -1,7 +1,7 @@
 /// \file
-/// Changes of upstreams inside messages between balancers. A list of all
-/// upstreams is most of what a start moves, so that names of data halls stand
-/// once in it and IPv4 addresses are numbers.
+/// Encoding of upstream changes in messages between balancers. To keep full
+/// lists small, names of data halls are stored once in a message and IPv4
+/// addresses as numbers.
 #ifndef THYMEWALL_SRC_UPSTREAM_CODEC_H
 #define THYMEWALL_SRC_UPSTREAM_CODEC_H
 
@@ -11,14 +11,16 @@
 
 namespace thymewall::detail {
 
-/// Times are sent as what is left of them at \p Now.
+/// Encodes times relative to \p Now.
 nlohmann::json encodeChanges(const std::vector<UpstreamChange> &Changes,
                              MonoTime Now);
-/// Throws what the library throws, or `std::invalid_argument`.
+/// Throws `nlohmann::json::exception`, `std::out_of_range` or
+/// `std::invalid_argument` if \p J is malformed.
 std::vector<UpstreamChange> decodeChanges(const nlohmann::json &J,
                                           MonoTime Now);
 
-/// An address as text. Throws `std::invalid_argument` for another text.
+/// Parses an address and port. Throws `std::invalid_argument` if the text is
+/// none.
 Endpoint decodeEndpoint(const nlohmann::json &J);
 
 } // namespace thymewall::detail
--- a/src/upstream-list.cc
+++ b/src/upstream-list.cc
@@ -29,15 +29,15 @@
       Known == Entries_.end() || Known->second.Revision_ < Change.Revision_;
   if (!Newer)
     return;
-  // What a start wrote may arrive after its successor's entry: held up by a
-  // cut, it must not bring the earlier start back.
-  std::uint64_t LastBorn = bornMs(Change.Incarnation_);
-  std::uint64_t Born = Change.Entry_ ? Change.Entry_->StartTimeMs_ : 0;
-  bool EarlierStart = Born != 0 && Born < LastBorn;
+  // A delayed entry of an earlier start must not replace that of a later one.
+  std::uint64_t LastStartMs = lastStartTimeMs(Change.Incarnation_);
+  std::uint64_t StartMs = Change.Entry_ ? Change.Entry_->StartTimeMs_ : 0;
+  bool EarlierStart = StartMs != 0 && StartMs < LastStartMs;
   if (EarlierStart)
     return;
-  // A start that has told its birth tells it always: else another wrote this.
-  bool OtherWriter = Born == 0 && LastBorn != 0;
+  // A start publishes its time in all of its entries or in none. An entry that
+  // lacks it has another writer and counts as a removal.
+  bool OtherWriter = StartMs == 0 && LastStartMs != 0;
   if (Change.Entry_ && !OtherWriter) {
     if (Known == Entries_.end())
       removeEnded(Change.Incarnation_);
@@ -78,12 +78,13 @@
       ++Item;
       continue;
     }
-    // When it ended is not known: the list's own revision is late enough.
+    // The revision of the removal is unknown; that of the snapshot is an upper
+    // bound.
     Applied.push_back({Item->first, Batch.Through_, std::nullopt});
     addEnded(Item->first, Item->second);
     Item = Entries_.erase(Item);
   }
-  // Ends between the old and the new revision were not told one by one.
+  // Removals up to the snapshot's revision are not known individually.
   Tombstones_.clear();
   TombstonesAfter_ = Batch.Through_;
 }
@@ -108,8 +109,8 @@
   });
 }
 
-/// Of the last start of \p Which that is known, published or not; else 0.
-std::uint64_t UpstreamList::bornMs(Incarnation Which) const {
+/// Returns the time of the last known start, published or not, or 0.
+std::uint64_t UpstreamList::lastStartTimeMs(Incarnation Which) const {
   auto Known = Entries_.find(Which);
   if (Known != Entries_.end())
     return Known->second.Entry_.StartTimeMs_;
@@ -120,7 +121,7 @@
   return Last;
 }
 
-/// It is published again.
+/// Drops the last entries of an upstream that is published again.
 void UpstreamList::removeEnded(Incarnation Which) {
   Ended_.erase(std::remove_if(Ended_.begin(), Ended_.end(),
                               [&](const auto &Change) {
@@ -142,9 +143,10 @@
   }
   if (Batch.Whole_)
     return Batch;
-  for (auto End = Tombstones_.upper_bound(After); End != Tombstones_.end();
-       ++End)
-    Batch.Changes_.push_back({End->second, End->first, std::nullopt});
+  for (auto Tombstone = Tombstones_.upper_bound(After);
+       Tombstone != Tombstones_.end(); ++Tombstone)
+    Batch.Changes_.push_back(
+        {Tombstone->second, Tombstone->first, std::nullopt});
   return Batch;
 }
 
--- a/src/upstream-table.cc
+++ b/src/upstream-table.cc
@@ -8,24 +8,25 @@
 
 namespace {
 
-/// A hash as a number in (0, 1].
-double unit(std::uint64_t Hash) {
+/// Maps a hash to (0, 1].
+double unitInterval(std::uint64_t Hash) {
   return (static_cast<double>(Hash >> 11) + 1) / 9007199254740992.0;
 }
 
-/// A cold upstream takes a share of its candidates that grows to all of them.
-bool admitsWhileCold(const ChooserInput &C, const UpstreamRow &Row) {
+/// Returns whether a flow may go to an upstream now: during its slow start, a
+/// growing share of the flows that have it as a candidate.
+bool slowStartAdmits(const ChooserInput &C, const UpstreamRow &Row) {
   if (C.Now_ >= Row.WarmAt_ || !detail::has(detail::Mechanism::ColdRamp))
     return true;
   auto Left = std::chrono::duration<double>(Row.WarmAt_ - C.Now_);
   auto Whole = std::chrono::duration<double>(UpstreamTable::SlowStartDuration);
   double Share = 1 - Left / Whole;
   std::uint64_t Draw = hashPair(raw(C.Flow_.Flow_), ~std::uint64_t{0});
-  return unit(Draw) <= std::max(Share, 0.1);
+  return unitInterval(Draw) <= std::max(Share, 0.1);
 }
 
-/// Neither about to leave nor evacuated, so that it may take new flows.
-bool mayTake(const UpstreamRow &Row) {
+/// Returns whether an upstream is neither leaving nor evacuated.
+bool acceptsNewFlows(const UpstreamRow &Row) {
   bool Stays = !Row.Leaving_ || !detail::has(detail::Mechanism::Leaving);
   bool Evacuated = Row.Evacuated_ && detail::has(detail::Mechanism::Evacuation);
   return Stays && !Evacuated;
@@ -35,16 +36,16 @@
   return C.Rows_[C.Eligible_.Indexes_[Index]];
 }
 
-/// The less loaded of two candidates, by a load given as a number.
+/// Returns the less loaded of two candidates by \p Load per slot.
 template <typename Function>
-std::size_t chooseTwo(const ChooserInput &C, Function Load) {
+std::size_t chooseLessLoaded(const ChooserInput &C, Function Load) {
   auto [First, Second] = drawCandidates(C);
   const UpstreamRow &A = rowOf(C, First);
   const UpstreamRow &B = rowOf(C, Second);
-  bool ColdA = !admitsWhileCold(C, A);
-  bool ColdB = !admitsWhileCold(C, B);
-  if (ColdA != ColdB)
-    return ColdA ? Second : First;
+  bool DeniedA = !slowStartAdmits(C, A);
+  bool DeniedB = !slowStartAdmits(C, B);
+  if (DeniedA != DeniedB)
+    return DeniedA ? Second : First;
   if (!detail::has(detail::Mechanism::LeastLoaded))
     return First;
   std::uint64_t LoadA = std::uint64_t{Load(A)} * B.Slots_;
@@ -75,7 +76,7 @@
     return {0, 0};
   std::uint64_t Hash = FlowRow::hash(C.Flow_);
   std::size_t First = At(Hash % UpTo.back());
-  // The second draw leaves out the first one's slots.
+  // Excludes the slots of the first candidate from the second draw.
   std::uint64_t Begin = First == 0 ? 0 : UpTo[First - 1];
   std::uint64_t Width = UpTo[First] - Begin;
   std::uint64_t Slot = hashPair(Hash, 1) % (UpTo.back() - Width);
@@ -87,19 +88,20 @@
 }
 
 std::size_t chooseByOwnFlows(const ChooserInput &C) {
-  return chooseTwo(C, [](const UpstreamRow &R) { return R.OwnFlows_; });
+  return chooseLessLoaded(C, [](const UpstreamRow &R) { return R.OwnFlows_; });
 }
 
 std::size_t chooseByInProgress(const ChooserInput &C) {
-  // Flows only break ties: no balancer holds this many for one upstream.
-  constexpr std::uint64_t Request = 1 << 20;
-  return chooseTwo(C, [](const UpstreamRow &R) {
-    return R.InFlight_ * Request + R.OwnFlows_;
+  // Exceeds the number of flows, so that these only break ties.
+  constexpr std::uint64_t RequestWeight = 1 << 20;
+  return chooseLessLoaded(C, [](const UpstreamRow &R) {
+    return R.InFlight_ * RequestWeight + R.OwnFlows_;
   });
 }
 
 std::size_t chooseByReportedFlows(const ChooserInput &C) {
-  return chooseTwo(C, [](const UpstreamRow &R) { return R.ReportedFlows_; });
+  return chooseLessLoaded(
+      C, [](const UpstreamRow &R) { return R.ReportedFlows_; });
 }
 
 void UpstreamTable::declare(const Declaration &D, MonoTime Now) {
@@ -196,16 +198,16 @@
   UpstreamRow &Row = Rows_[Index];
   if (++Row.ConsecutiveFailures_ < FailureThreshold_)
     return;
-  // What fails while it is ejected was sent before: the same failure, unless
-  // another reason ejected it.
+  // A request that fails during an ejection was sent before it and counts to
+  // the same ejection, unless that had another cause.
   bool Ejected = Row.EjectedUntil_ > Now;
   if (!Ejected || Row.ConsecutiveEjections_ == 0)
     ++Row.ConsecutiveEjections_;
-  std::uint32_t Times = std::min(
+  std::uint32_t Multiplier = std::min(
       MaxEjectionMultiplier, 1U << std::min(Row.ConsecutiveEjections_ - 1, 8U));
-  auto Spread = std::chrono::duration_cast<Micros>(BaseEjectionTime *
-                                                   (0.5 + Jitter) * Times);
-  eject(Index, Now + Spread);
+  auto Duration = std::chrono::duration_cast<Micros>(
+      BaseEjectionTime * (0.5 + Jitter) * Multiplier);
+  eject(Index, Now + Duration);
 }
 
 void UpstreamTable::eject(std::uint32_t Index, MonoTime Until) {
@@ -261,27 +263,27 @@
 
 void UpstreamTable::selectEligible(const std::vector<std::uint32_t> &Selected,
                                    MonoTime Now, EligibleSet &Into) const {
-  auto TakeIf = [&](auto Wanted) {
+  auto SelectIf = [&](auto Predicate) {
     Into.clear();
     for (std::uint32_t Index : Selected)
-      if (mayTake(Rows_[Index]) && Wanted(Rows_[Index]))
+      if (acceptsNewFlows(Rows_[Index]) && Predicate(Rows_[Index]))
         Into.add(Index, Rows_[Index].Slots_);
   };
-  auto Lives = [](const UpstreamRow &Row) { return !Row.Dead_; };
-  std::size_t Living = 0;
+  auto IsAlive = [](const UpstreamRow &Row) { return !Row.Dead_; };
+  std::size_t Alive = 0;
   bool Evacuated = false;
   for (std::uint32_t Index : Selected) {
-    if (mayTake(Rows_[Index]) && Lives(Rows_[Index]))
-      ++Living;
+    if (acceptsNewFlows(Rows_[Index]) && IsAlive(Rows_[Index]))
+      ++Alive;
     Evacuated = Evacuated || Rows_[Index].Evacuated_;
   }
-  if (Living == 0)
-    return TakeIf([=](const UpstreamRow &) { return !Evacuated; });
-  TakeIf([&](const UpstreamRow &Row) {
-    return Lives(Row) && Row.EjectedUntil_ <= Now;
+  if (Alive == 0)
+    return SelectIf([=](const UpstreamRow &) { return !Evacuated; });
+  SelectIf([&](const UpstreamRow &Row) {
+    return IsAlive(Row) && Row.EjectedUntil_ <= Now;
   });
-  if (2 * Into.size() < Living)
-    TakeIf(Lives);
+  if (2 * Into.size() < Alive)
+    SelectIf(IsAlive);
 }
 
 std::uint32_t UpstreamTable::findById(UpstreamId Id) const {
--- a/test/answer-evidence-test.cc
+++ b/test/answer-evidence-test.cc
@@ -1,6 +1,6 @@
 /// \file
-/// Upstreams whose answers are far shorter than an address gives: which answers
-/// are short, and which upstreams get no new flows for them.
+/// Which answers count as short, and which upstreams are ejected because of
+/// short answers, such as error pages.
 #include "packets.h"
 #include "thymewall/answer-sizes.h"
 
@@ -18,35 +18,35 @@
 const Endpoint Address = Endpoint::v4(0xc6120001, 443);
 constexpr std::uint32_t ErrorBytes = 171;
 
-/// Answers of an address, by the first acknowledgement after a request.
-using Sizes = std::function<std::uint32_t(std::mt19937_64 &)>;
+/// Draws the size of an answer, in bytes.
+using SizeModel = std::function<std::uint32_t(std::mt19937_64 &)>;
 
 std::uint32_t lognormal(std::mt19937_64 &Random, double Mean, double Spread) {
   std::lognormal_distribution<double> Draw(std::log(Mean), Spread);
   return static_cast<std::uint32_t>(std::max(1.0, Draw(Random)));
 }
 
-std::uint32_t metadata(std::mt19937_64 &Random) {
+std::uint32_t metadataSize(std::mt19937_64 &Random) {
   return 200 + lognormal(Random, 1400, 0.5);
 }
 
-/// A fleet that tells each other every warning at once, and callers whose flows
-/// each carry one request.
+/// Balancers that exchange warnings without delay, and callers that send one
+/// request on each flow.
 class Fleet {
 public:
-  Fleet(std::size_t Balancers, std::size_t Upstreams, Sizes Right)
-      : Right_(std::move(Right)), Failing_(Upstreams + 1, 0) {
+  Fleet(std::size_t Balancers, std::size_t Upstreams, SizeModel AnswerSize)
+      : AnswerSize_(std::move(AnswerSize)), ErrorShare_(Upstreams + 1, 0) {
     std::vector<UpstreamChange> Changes;
     for (std::uint64_t Id = 1; Id <= Upstreams; ++Id)
       Changes.push_back(up(Id, Index));
     for (std::size_t I = 0; I < Balancers; ++I) {
       Balancers_.push_back(PacketBalancerBuilder()
                                .onWarning([this, I](const UpstreamWarning &M) {
-                                 Told_.emplace_back(I, M);
+                                 Warnings_.emplace_back(I, M);
                                })
                                .onBelief([this](const Belief &B) {
                                  if (B.Kind_ == Belief::Kind::Failing)
-                                   Verdicts_.insert(raw(B.Upstream_));
+                                   Ejected_.insert(raw(B.Upstream_));
                                })
                                .build());
       PacketBalancer &B = Balancers_.back();
@@ -57,13 +57,15 @@
     }
   }
 
-  /// The share of its answers that an upstream gives as errors from now on.
-  void fail(std::uint64_t Upstream, double Share) {
-    Failing_[Upstream] = Share;
+  /// Makes an upstream answer a share of its requests with errors.
+  void setErrorShare(std::uint64_t Upstream, double Share) {
+    ErrorShare_[Upstream] = Share;
+  }
+  void setSizeModel(SizeModel AnswerSize) {
+    AnswerSize_ = std::move(AnswerSize);
   }
-  void setSizes(Sizes Right) { Right_ = std::move(Right); }
 
-  /// So many requests a second for so long; gives those that failed.
+  /// Sends requests for some time; returns the number of errors.
   std::size_t run(Micros For, double PerSecond) {
     Micros Until = Now_ + For;
     std::exponential_distribution<double> Gap(PerSecond);
@@ -76,7 +78,7 @@
     return Failed;
   }
 
-  const std::set<std::uint64_t> &verdicts() const { return Verdicts_; }
+  const std::set<std::uint64_t> &ejected() const { return Ejected_; }
 
 private:
   MonoTime clock() const { return at(0ms) + Now_; }
@@ -97,25 +99,25 @@
     const Forward *F = forwarded(V);
     REQUIRE(F);
     std::uniform_real_distribution<double> Draw(0, 1);
-    bool Fails = Draw(Random_) < Failing_[raw(F->Upstream_)];
-    std::uint32_t Bytes = Fails ? ErrorBytes : Right_(Random_);
+    bool Fails = Draw(Random_) < ErrorShare_[raw(F->Upstream_)];
+    std::uint32_t Bytes = Fails ? ErrorBytes : AnswerSize_(Random_);
     B.steer(clock(), following(Port, F->Cookie_, 1, 100));
     Packet End = following(Port, F->Cookie_, 1 + Bytes);
     End.Finishes_ = true;
     B.steer(clock(), End);
-    for (const auto &[From, M] : Told_)
+    for (const auto &[From, M] : Warnings_)
       for (std::size_t I = 0; I < Balancers_.size(); ++I)
         if (I != From)
           Balancers_[I].warned(clock(), M);
-    Told_.clear();
+    Warnings_.clear();
     return !Fails;
   }
 
-  Sizes Right_;
-  std::vector<double> Failing_; ///< By upstream.
+  SizeModel AnswerSize_;
+  std::vector<double> ErrorShare_; ///< By upstream.
   std::vector<PacketBalancer> Balancers_;
-  std::vector<std::pair<std::size_t, UpstreamWarning>> Told_;
-  std::set<std::uint64_t> Verdicts_;
+  std::vector<std::pair<std::size_t, UpstreamWarning>> Warnings_;
+  std::set<std::uint64_t> Ejected_;
   std::mt19937_64 Random_{7};
   Micros Now_{};
   Micros NextTick_{};
@@ -127,115 +129,119 @@
   std::size_t Upstreams_;
   double PerSecond_;
 };
-/// The deployments' own figures: requests with an answer that is judged.
+/// Fleet sizes and rates of classified answers.
 constexpr Size Fleets[] = {{8, 14, 375}, {90, 120, 1400}, {295, 480, 2800}};
 
 } // namespace
 
-TEST_CASE("an answer of less than half of the shortest usual one is short") {
-  AnswerSizes Known;
+TEST_CASE("an answer below half of the shortest usual size is short") {
+  AnswerSizes Sizes;
   std::mt19937_64 Random(3);
   for (std::uint32_t I = 0; I < AnswerSizes::MinSamples - 1; ++I)
-    Known.isShort(Address, metadata(Random));
-  CHECK_FALSE(Known.isShort(Address, ErrorBytes)); // too few are known
+    Sizes.recordAndCheckShort(Address, metadataSize(Random));
+  CHECK_FALSE(
+      Sizes.recordAndCheckShort(Address, ErrorBytes)); // too few samples
   for (std::uint32_t I = 0; I < 1000; ++I)
-    CHECK_FALSE(Known.isShort(Address, metadata(Random)));
-  CHECK(Known.isShort(Address, ErrorBytes));
-  CHECK_FALSE(Known.isShort(Endpoint::v4(0xc6120001, 80), ErrorBytes));
+    CHECK_FALSE(Sizes.recordAndCheckShort(Address, metadataSize(Random)));
+  CHECK(Sizes.recordAndCheckShort(Address, ErrorBytes));
+  CHECK_FALSE(
+      Sizes.recordAndCheckShort(Endpoint::v4(0xc6120001, 80), ErrorBytes));
 }
 
-TEST_CASE(
-    "a fifth of errors does not become usual, but a change of all answers "
-    "does") {
-  AnswerSizes Known;
+TEST_CASE("the baseline ignores a fifth of errors but follows a change of all "
+          "answers") {
+  AnswerSizes Sizes;
   std::mt19937_64 Random(3);
   for (int I = 0; I < 1000; ++I)
-    Known.isShort(Address, metadata(Random));
+    Sizes.recordAndCheckShort(Address, metadataSize(Random));
   for (int I = 0; I < 5000; ++I)
-    Known.isShort(Address, I % 5 == 0 ? ErrorBytes : metadata(Random));
-  CHECK(Known.isShort(Address, ErrorBytes));
+    Sizes.recordAndCheckShort(Address,
+                              I % 5 == 0 ? ErrorBytes : metadataSize(Random));
+  CHECK(Sizes.recordAndCheckShort(Address, ErrorBytes));
   for (int I = 0; I < 300; ++I)
-    Known.isShort(Address, ErrorBytes + I % 20);
-  CHECK_FALSE(Known.isShort(Address, ErrorBytes));
+    Sizes.recordAndCheckShort(Address, ErrorBytes + I % 20);
+  CHECK_FALSE(Sizes.recordAndCheckShort(Address, ErrorBytes));
 }
 
-TEST_CASE("where right answers are small once in a hundred, none is short") {
-  AnswerSizes Known;
+TEST_CASE("no answer is short if one in fifty regular answers is as small") {
+  AnswerSizes Sizes;
   std::mt19937_64 Random(3);
   for (int I = 0; I < 2000; ++I)
-    Known.isShort(Address, I % 50 == 0 ? ErrorBytes : metadata(Random));
-  CHECK_FALSE(Known.isShort(Address, ErrorBytes));
+    Sizes.recordAndCheckShort(Address,
+                              I % 50 == 0 ? ErrorBytes : metadataSize(Random));
+  CHECK_FALSE(Sizes.recordAndCheckShort(Address, ErrorBytes));
 }
 
-TEST_CASE("a fifth of a service that answers by errors gets few flows") {
+TEST_CASE("a fifth of a service that answers with errors gets few flows") {
   for (const Size &S : Fleets) {
     CAPTURE(S.Balancers_);
-    Fleet F(S.Balancers_, S.Upstreams_, metadata);
+    Fleet F(S.Balancers_, S.Upstreams_, metadataSize);
     F.run(15s, S.PerSecond_);
-    REQUIRE(F.verdicts().empty());
+    REQUIRE(F.ejected().empty());
     for (std::uint64_t Id = 1; Id <= S.Upstreams_ / 5; ++Id)
-      F.fail(Id, 1);
+      F.setErrorShare(Id, 1);
     std::size_t Failed = F.run(7s, S.PerSecond_);
     double Drawn = 7 * S.PerSecond_ / 5;
     CHECK(static_cast<double>(Failed) < 0.3 * Drawn);
-    for (std::uint64_t Id : F.verdicts())
+    for (std::uint64_t Id : F.ejected())
       CHECK(Id <= S.Upstreams_ / 5);
   }
 }
 
-TEST_CASE("on a calm day no upstream that is well is held to be failing, "
-          "whatever it answers") {
+TEST_CASE("healthy upstreams are not ejected, whatever the sizes of their "
+          "answers") {
   struct Mix {
     std::string Name_;
-    Sizes Right_;
+    SizeModel AnswerSize_;
   };
   const std::vector<Mix> Mixes = {
       {"of one size", [](std::mt19937_64 &) { return 797U; }},
-      {"spread", metadata},
+      {"spread", metadataSize},
       {"spread widely",
        [](std::mt19937_64 &R) { return lognormal(R, 2000, 1.5); }},
       {"one in 30 is small",
        [](std::mt19937_64 &R) {
-         return R() % 30 == 0 ? ErrorBytes : metadata(R);
+         return R() % 30 == 0 ? ErrorBytes : metadataSize(R);
        }},
       {"one in 300 is small", [](std::mt19937_64 &R) {
-         return R() % 300 == 0 ? ErrorBytes : metadata(R);
+         return R() % 300 == 0 ? ErrorBytes : metadataSize(R);
        }}};
   for (const Size &S : Fleets)
     for (const Mix &M : Mixes) {
       CAPTURE(S.Balancers_);
       CAPTURE(M.Name_);
-      Fleet F(S.Balancers_, S.Upstreams_, M.Right_);
+      Fleet F(S.Balancers_, S.Upstreams_, M.AnswerSize_);
       F.run(20s, S.PerSecond_);
-      // Chance may put one aside for 2 s.
-      CHECK(F.verdicts().size() <= S.Upstreams_ / 100);
+      // Some false positives are allowed.
+      CHECK(F.ejected().size() <= S.Upstreams_ / 100);
     }
 }
 
-TEST_CASE("full queues that turn some callers away put nobody aside") {
+TEST_CASE("upstreams with a few errors from full queues are not ejected") {
   for (const Size &S : Fleets) {
     CAPTURE(S.Balancers_);
-    Fleet F(S.Balancers_, S.Upstreams_, metadata);
+    Fleet F(S.Balancers_, S.Upstreams_, metadataSize);
     F.run(15s, S.PerSecond_);
     for (std::uint64_t Id = 1; Id <= S.Upstreams_; ++Id)
-      F.fail(Id, 0.02);
+      F.setErrorShare(Id, 0.02);
     F.run(5s, S.PerSecond_);
-    CHECK(F.verdicts().size() <= S.Upstreams_ / 20);
+    CHECK(F.ejected().size() <= S.Upstreams_ / 20);
   }
 }
 
-TEST_CASE("a whole service that fails alike is served on by all of it") {
+TEST_CASE(
+    "no more upstreams are ejected once all of a service answers with errors") {
   for (const Size &S : Fleets) {
     CAPTURE(S.Balancers_);
-    Fleet F(S.Balancers_, S.Upstreams_, metadata);
+    Fleet F(S.Balancers_, S.Upstreams_, metadataSize);
     F.run(15s, S.PerSecond_);
     for (std::uint64_t Id = 1; Id <= S.Upstreams_; ++Id)
-      F.fail(Id, 1);
+      F.setErrorShare(Id, 1);
     F.run(10s, S.PerSecond_);
-    // What the address gives now is learnt, and nothing is short any more.
-    F.setSizes([](std::mt19937_64 &) { return ErrorBytes; });
-    std::size_t Before = F.verdicts().size();
+    // The errors have become the baseline, so that none is short.
+    F.setSizeModel([](std::mt19937_64 &) { return ErrorBytes; });
+    std::size_t Before = F.ejected().size();
     F.run(5s, S.PerSecond_);
-    CHECK(F.verdicts().size() <= Before);
+    CHECK(F.ejected().size() <= Before);
   }
 }
--- a/test/cold-admission-test.cc
+++ b/test/cold-admission-test.cc
@@ -1,5 +1,5 @@
 /// \file
-/// New flows to cold upstreams from a whole fleet, in any second.
+/// Limits on the new flows of a whole fleet to cold upstreams.
 #include "cold-fleet.h"
 #include "packets.h"
 
@@ -13,10 +13,10 @@
 
 namespace {
 
-constexpr MembershipModel Beliefs[] = {
-    MembershipModel::Alike,   MembershipModel::Halved,
-    MembershipModel::Apart,   MembershipModel::Added,
-    MembershipModel::Partial, MembershipModel::Restarted};
+constexpr MembershipModel Memberships[] = {
+    MembershipModel::Complete,    MembershipModel::Halved,
+    MembershipModel::Partitioned, MembershipModel::Added,
+    MembershipModel::Partial,     MembershipModel::Restarted};
 
 struct Upstreams {
   std::size_t Warm_;
@@ -24,8 +24,8 @@
 };
 constexpr Upstreams Loads[] = {{119, 1}, {112, 8}, {80, 40}, {0, 40}};
 
-/// A view of a settled balancer that has heard of nobody.
-FleetView alone() { return {1, {}, true}; }
+/// The view of a settled balancer that knows no peers.
+FleetView withoutPeers() { return {1, {}, true}; }
 
 UpstreamChange cold(std::uint64_t Id, Micros For) {
   UpstreamChange Change = up(Id, Index);
@@ -46,7 +46,8 @@
   return B;
 }
 
-/// Openings in a second, one every 10 ms, by upstream.
+/// Opens a flow every 10 ms for a second; returns the number for each upstream,
+/// with 0 for those not forwarded.
 std::map<std::uint64_t, int> openings(PacketBalancer &B, Micros From) {
   std::map<std::uint64_t, int> Count;
   for (std::uint16_t I = 0; I < 100; ++I)
@@ -57,12 +58,11 @@
 
 } // namespace
 
-TEST_CASE(
-    "in no second do a cold upstream's flows pass its limit, whatever the "
-    "balancers believe of each other") {
+TEST_CASE("new flows to a cold upstream stay within its limit in any second, "
+          "whichever peers the balancers know") {
   for (std::size_t Balancers : {8U, 90U, 300U})
     for (double PerSecond : {2.0, 10.0, 50.0})
-      for (MembershipModel Which : Beliefs)
+      for (MembershipModel Which : Memberships)
         for (const Upstreams &U : Loads) {
           CAPTURE(Balancers);
           CAPTURE(PerSecond);
@@ -70,42 +70,43 @@
           CAPTURE(U.Cold_);
           ColdScenario S{
               Balancers, U.Warm_, U.Cold_, {PerSecond, 1.5, 5}, Which};
-          CHECK(play(S, AdmissionPolicy::Owners, 4, 7).PeakRatio_ <= 1.0);
+          CHECK(simulate(S, AdmissionPolicy::Owners, 4, 7).PeakRatio_ <= 1.0);
         }
 }
 
 TEST_CASE(
-    "parts stay within the limit, and nothing is given where not even one "
-    "owner fits") {
+    "quotas stay within the limit, and there is no owner if the limit is too "
+    "low for one") {
   CHECK(coldQuota({2, 1.5, 5}).Owners_ == 1);
   CHECK(coldQuota({50, 1.5, 5}).Owners_ > 1);
   CHECK(coldQuota({1, 1, 0}).Owners_ == 0);
   for (double PerSecond = 0.5; PerSecond < 1000; PerSecond *= 1.3) {
     ColdLimit Limit{PerSecond, 1.5, 5};
-    ColdQuota Parts = coldQuota(Limit);
-    if (Parts.Owners_ == 0)
+    ColdQuota Quota = coldQuota(Limit);
+    if (Quota.Owners_ == 0)
       continue;
     double Each =
-        std::floor(1e6 / static_cast<double>(Parts.MinInterval_.count())) + 1;
-    CHECK(Each * static_cast<double>(Parts.Owners_) <= Limit.burstLimit());
+        std::floor(1e6 / static_cast<double>(Quota.MinInterval_.count())) + 1;
+    CHECK(Each * static_cast<double>(Quota.Owners_) <= Limit.burstLimit());
   }
 }
 
 TEST_CASE(
-    "a balancer that has just come, or is about to leave, opens nothing to "
+    "a balancer that has just started or is about to leave opens no flows to "
     "a cold upstream") {
   ColdAdmission Cold;
   ColdLimit Limit{10, 1.5, 5};
   CHECK_FALSE(Cold.admits(at(0ms), Incarnation{1}, Limit));
-  Cold.setFleet(alone());
+  Cold.setFleet(withoutPeers());
   CHECK(Cold.admits(at(0ms), Incarnation{1}, Limit));
-  FleetView Leaving = alone();
+  FleetView Leaving = withoutPeers();
   Leaving.Settled_ = false;
   Cold.setFleet(Leaving);
   CHECK_FALSE(Cold.admits(at(0ms), Incarnation{1}, Limit));
 }
 
-TEST_CASE("of two balancers that know each other one owns a limit of 2") {
+TEST_CASE(
+    "exactly one of two balancers that know each other owns a limit of 2") {
   ColdLimit Limit{2, 1.5, 5};
   ColdAdmission One;
   ColdAdmission Two;
@@ -120,23 +121,23 @@
   CHECK(Owns.size() == 2);
 }
 
-TEST_CASE("new flows beyond a cold upstream's limit go to warm ones") {
+TEST_CASE("new flows beyond the limit of a cold upstream go to warm ones") {
   PacketBalancer B = withLimit(10);
-  B.setFleet(alone());
+  B.setFleet(withoutPeers());
   B.applyUpstreams(at(0ms), {up(1, Index), up(2, Index), cold(3, 2s)});
   auto Count = openings(B, 0ms);
   CHECK(Count[3] > 0);
   CHECK(Count[3] <= 20);
   CHECK(Count[0] == 0);
   CHECK(Count[1] + Count[2] + Count[3] == 100);
-  // Once it is warm it gets its part like the others.
+  // Once warm, it takes its share.
   CHECK(openings(B, 3s)[3] > 20);
 }
 
-TEST_CASE("where all are cold, callers beyond the limit are told at once, and "
-          "openings return with the first that is warm") {
+TEST_CASE("if all upstreams are cold, openings beyond the limit are reset at "
+          "once, until one is warm") {
   PacketBalancer B = withLimit(2);
-  B.setFleet(alone());
+  B.setFleet(withoutPeers());
   B.applyUpstreams(at(0ms), {cold(1, 2s), cold(2, 5s)});
   auto Count = openings(B, 0ms);
   CHECK(Count[1] <= 8);
@@ -148,9 +149,9 @@
   CHECK(openings(B, 2s)[0] == 0);
 }
 
-TEST_CASE("copies and retries of an opening count like the first one") {
+TEST_CASE("duplicates and retries of an opening count towards the limit") {
   PacketBalancer B = withLimit(2);
-  B.setFleet(alone());
+  B.setFleet(withoutPeers());
   B.applyUpstreams(at(0ms), {cold(1, 5s)});
   int Sent = 0;
   for (std::uint16_t Port = 1; Port <= 50; ++Port) {
@@ -164,33 +165,33 @@
   CHECK(Sent <= 8);
 }
 
-TEST_CASE("a service without a limit is served as ever") {
+TEST_CASE("cold upstreams of a service without a limit take all flows") {
   PacketBalancer B = withLimit(10);
   B.setRouting(at(0ms), limited(2, 0));
   B.applyUpstreams(at(0ms), {cold(1, 5s), cold(2, 5s)});
   CHECK(openings(B, 0ms)[0] == 0);
 }
 
-TEST_CASE("owners stay few where each balancer has heard of few others") {
+TEST_CASE("owners stay few if each balancer knows few peers") {
   const ColdLimit Limit{50, 1.5, 5};
   std::size_t Wanted = coldQuota(Limit).Owners_;
   for (std::size_t Fleet : {585U, 4000U}) {
-    for (double Judged : {0.6, 1.0, 1.6}) { // of the true size
+    for (double SizeRatio : {0.6, 1.0, 1.6}) { // estimate over the true size
       CAPTURE(Fleet);
-      CAPTURE(Judged);
+      CAPTURE(SizeRatio);
       std::map<std::uint64_t, std::size_t> Owners;
       for (std::size_t Which = 0; Which < Fleet; ++Which) {
         FleetView View{hashPair(Which, 1), {}, true};
         for (std::uint64_t I = 0; I < 45; ++I)
           View.PeerHashes_.push_back(hashPair(hashPair(Which, I) % Fleet, 1));
         View.EstimatedSize_ =
-            static_cast<std::size_t>(Judged * static_cast<double>(Fleet));
+            static_cast<std::size_t>(SizeRatio * static_cast<double>(Fleet));
         ColdAdmission Cold;
         Cold.setFleet(View);
         for (std::uint64_t Up = 1; Up <= 20; ++Up)
           Owners[Up] += Cold.admits(at(0ms), Incarnation{Up}, Limit) ? 1 : 0;
       }
-      // The parts hold the limit while there are six times as many.
+      // The quotas allow for six times as many owners.
       for (const auto &[Up, Count] : Owners)
         CHECK(Count <= 6 * Wanted);
     }
--- a/test/cold-fleet.cc
+++ b/test/cold-fleet.cc
@@ -9,10 +9,10 @@
 
 namespace {
 
-/// One way's openings take between these to arrive.
-constexpr double NearMs = 0.1;
-constexpr double FarMs = 2.0;
-/// How much of its cold time an upstream of the ramp has left at the begin.
+/// Range of the network delay from a balancer to an upstream.
+constexpr double MinDelayMs = 0.1;
+constexpr double MaxDelayMs = 2.0;
+/// Duration of the ramp; it starts with the simulation.
 constexpr double RampSeconds = 5;
 
 std::uint64_t nameOfBalancer(std::size_t Which) {
@@ -21,22 +21,24 @@
 
 Incarnation coldUpstream(std::size_t Which) { return Incarnation{Which + 1}; }
 
-/// A balancer's state for whichever way is played.
+/// State of a balancer for all policies.
 struct Balancer {
-  ColdAdmission Owners_;
-  std::vector<double> TokenAt_; ///< Of each cold upstream: when the next comes.
-  std::size_t Members_ = 1;     ///< Believed in, itself among them.
-  double PresentFrom_ = -100;
+  ColdAdmission Admission_;
+  std::vector<double> TokenAt_; ///< Next token for each cold upstream.
+  std::size_t Members_ = 1;     ///< Known ones, including itself.
+  double StartedAt_ = -100;
 };
 
 class Model {
 public:
-  Model(const ColdScenario &Scenario, AdmissionPolicy Way, std::uint64_t Seed)
-      : S_(Scenario), Way_(Way), Random_(Seed), Fleet_(S_.Balancers_),
+  Model(const ColdScenario &Scenario, AdmissionPolicy Policy,
+        std::uint64_t Seed)
+      : S_(Scenario), Policy_(Policy), Random_(Seed), Fleet_(S_.Balancers_),
         Arrivals_(S_.Cold_) {
     for (std::size_t Which = 0; Which < Fleet_.size(); ++Which)
-      start(Which,
-            S_.Belief_ == MembershipModel::Added && isNew(Which) ? -4 : -100);
+      start(Which, S_.Membership_ == MembershipModel::Added && isNew(Which)
+                       ? -4
+                       : -100);
   }
 
   ColdOutcome run(double For) {
@@ -46,7 +48,8 @@
     double NextRestart = 1;
     std::size_t Restarts = 0;
     for (Now_ = 0; Now_ < For; Now_ += Gap(Random_)) {
-      while (S_.Belief_ == MembershipModel::Restarted && Now_ > NextRestart) {
+      while (S_.Membership_ == MembershipModel::Restarted &&
+             Now_ > NextRestart) {
         if (Restarts < Fleet_.size() / 3)
           start(Restarts++, Now_);
         NextRestart += 0.02;
@@ -59,15 +62,15 @@
 private:
   bool isNew(std::size_t Which) const { return Which >= Fleet_.size() / 2; }
 
-  /// Whether a balancer has heard of another one.
-  bool hearsOf(std::size_t Which, std::size_t Other) {
+  /// Returns whether a balancer knows another one.
+  bool knows(std::size_t Which, std::size_t Other) {
     std::uniform_real_distribution<double> Draw(0, 1);
-    switch (S_.Belief_) {
-    case MembershipModel::Alike:
+    switch (S_.Membership_) {
+    case MembershipModel::Complete:
     case MembershipModel::Restarted:
     case MembershipModel::Halved:
       return true;
-    case MembershipModel::Apart:
+    case MembershipModel::Partitioned:
       return isNew(Which) == isNew(Other);
     case MembershipModel::Added:
       return isNew(Which) ? Draw(Random_) < 0.5 : !isNew(Other);
@@ -81,11 +84,11 @@
     Balancer &B = Fleet_[Which];
     B = Balancer{};
     B.TokenAt_.assign(S_.Cold_, 0);
-    B.PresentFrom_ = At;
+    B.StartedAt_ = At;
     FleetView View;
     View.SelfHash_ = nameOfBalancer(Which);
     for (std::size_t Other = 0; Other < Fleet_.size(); ++Other)
-      if (Other != Which && hearsOf(Which, Other))
+      if (Other != Which && knows(Which, Other))
         View.PeerHashes_.push_back(nameOfBalancer(Other));
     B.Members_ = View.PeerHashes_.size() + 1;
     View.Settled_ = true;
@@ -97,7 +100,7 @@
     ++Flows_;
     std::size_t All = S_.Warm_ + S_.Cold_;
     std::uniform_int_distribution<std::size_t> Any(0, All - 1);
-    switch (Way_) {
+    switch (Policy_) {
     case AdmissionPolicy::Ramp: {
       std::size_t One = Any(Random_);
       std::size_t Two = Any(Random_);
@@ -126,31 +129,31 @@
 
   bool admits(std::size_t Which, std::size_t Cold) {
     Balancer &B = Fleet_[Which];
-    if (Way_ == AdmissionPolicy::Bucket) {
+    if (Policy_ == AdmissionPolicy::Bucket) {
       if (Now_ < B.TokenAt_[Cold])
         return false;
       B.TokenAt_[Cold] =
           Now_ + static_cast<double>(B.Members_) / S_.Limit_.PerSecond_;
       return true;
     }
-    if (Way_ == AdmissionPolicy::Weight) {
+    if (Policy_ == AdmissionPolicy::Weight) {
       std::uniform_real_distribution<double> Draw(0, 1);
       double Whole = S_.FlowsPerBalancer_ * static_cast<double>(B.Members_);
       return Draw(Random_) < S_.Limit_.PerSecond_ / Whole;
     }
     MonoTime At(Micros(static_cast<Micros::rep>((Now_ + 1000) * 1e6)));
-    Views_[Which].Settled_ = Now_ - B.PresentFrom_ >= 3;
-    B.Owners_.setFleet(Views_[Which]);
-    if (!B.Owners_.admits(At, coldUpstream(Cold), S_.Limit_))
+    Views_[Which].Settled_ = Now_ - B.StartedAt_ >= 3;
+    B.Admission_.setFleet(Views_[Which]);
+    if (!B.Admission_.admits(At, coldUpstream(Cold), S_.Limit_))
       return false;
-    B.Owners_.recordOpening(At, coldUpstream(Cold), S_.Limit_);
+    B.Admission_.recordOpening(At, coldUpstream(Cold), S_.Limit_);
     return true;
   }
 
   void send(std::size_t, std::size_t Upstream) {
     if (Upstream >= S_.Cold_)
       return;
-    std::uniform_real_distribution<double> Delay(NearMs, FarMs);
+    std::uniform_real_distribution<double> Delay(MinDelayMs, MaxDelayMs);
     Arrivals_[Upstream].push_back(Now_ + Delay(Random_) / 1000);
   }
 
@@ -169,15 +172,15 @@
             std::max(Result.PeakRatio_, Count / S_.Limit_.burstLimit());
       }
     }
-    double Bears = S_.Limit_.PerSecond_ * For * static_cast<double>(S_.Cold_);
-    Result.Used_ = static_cast<double>(Taken) / Bears;
+    double Allowed = S_.Limit_.PerSecond_ * For * static_cast<double>(S_.Cold_);
+    Result.Utilization_ = static_cast<double>(Taken) / Allowed;
     Result.Rejected_ =
         static_cast<double>(Rejected_) / static_cast<double>(Flows_);
     return Result;
   }
 
   ColdScenario S_;
-  AdmissionPolicy Way_;
+  AdmissionPolicy Policy_;
   std::mt19937_64 Random_;
   std::vector<Balancer> Fleet_;
   std::vector<FleetView> Views_;
@@ -189,16 +192,16 @@
 
 } // namespace
 
-ColdOutcome play(const ColdScenario &Scenario, AdmissionPolicy Way, double For,
-                 std::uint64_t Seed) {
+ColdOutcome simulate(const ColdScenario &Scenario, AdmissionPolicy Policy,
+                     double For, std::uint64_t Seed) {
   ColdScenario S = Scenario;
-  if (S.Belief_ == MembershipModel::Halved)
+  if (S.Membership_ == MembershipModel::Halved)
     S.Balancers_ /= 2;
-  return Model(S, Way, Seed).run(For);
+  return Model(S, Policy, Seed).run(For);
 }
 
-std::string nameOf(AdmissionPolicy Way) {
-  switch (Way) {
+std::string nameOf(AdmissionPolicy Policy) {
+  switch (Policy) {
   case AdmissionPolicy::Ramp:
     return "ramp";
   case AdmissionPolicy::Bucket:
@@ -213,11 +216,11 @@
 
 std::string nameOf(MembershipModel Which) {
   switch (Which) {
-  case MembershipModel::Alike:
+  case MembershipModel::Complete:
     return "alike";
   case MembershipModel::Halved:
     return "halved";
-  case MembershipModel::Apart:
+  case MembershipModel::Partitioned:
     return "apart";
   case MembershipModel::Added:
     return "added";
--- a/test/cold-fleet.h
+++ b/test/cold-fleet.h
@@ -1,6 +1,6 @@
 /// \file
-/// Openings of a fleet to cold upstreams on virtual time, for each way to keep
-/// them within a limit. For tests and for the comparison of these ways.
+/// Simulates a fleet that opens flows to cold upstreams under different
+/// admission policies, in virtual time. For tests and bench/cold-ways.
 #ifndef THYMEWALL_TEST_COLD_FLEET_H
 #define THYMEWALL_TEST_COLD_FLEET_H
 
@@ -10,23 +10,23 @@
 
 namespace thymewall::test {
 
-/// How a balancer decides whether a flow goes to a cold upstream.
+/// How a balancer decides whether to open a flow to a cold upstream.
 enum class AdmissionPolicy : std::uint8_t {
-  Ramp,   ///< A share of the candidate's flows that grows with time.
-  Bucket, ///< A token bucket of the limit divided by the members believed in.
+  Ramp,   ///< A share of the candidate's flows that grows over time.
+  Bucket, ///< A token bucket with the limit divided by the known members.
   Owners, ///< `ColdAdmission`.
-  Weight  ///< A draw by the limit over the whole rate of the service.
+  Weight  ///< A random draw: the limit over the rate of the service.
 };
 
-/// What balancers believe of each other.
+/// Which peers the balancers know.
 enum class MembershipModel : std::uint8_t {
-  Alike,     ///< All know all.
-  Halved,    ///< Half are gone, and all know it.
-  Apart,     ///< Two halves, each of which has forgotten the other.
-  Added,     ///< Half came 4 s ago: nobody has heard of them, and each of them
-             ///< of half of the others.
-  Partial,   ///< Each has heard of 40% of the others, drawn for itself.
-  Restarted, ///< A third start again in turn, with nothing remembered.
+  Complete,    ///< All know all others.
+  Halved,      ///< Half have left, and all others know it.
+  Partitioned, ///< Two partitions that do not know each other.
+  Added,   ///< Half started 4 s ago: none of the others knows them, and each of
+           ///< them knows half of the fleet.
+  Partial, ///< Each knows a random 40% of the others.
+  Restarted, ///< A third restart one after another and lose their state.
 };
 
 struct ColdScenario {
@@ -34,21 +34,21 @@
   std::size_t Warm_ = 0;
   std::size_t Cold_ = 0;
   ColdLimit Limit_;
-  MembershipModel Belief_ = MembershipModel::Alike;
-  double FlowsPerBalancer_ = 6; ///< New ones a second.
+  MembershipModel Membership_ = MembershipModel::Complete;
+  double FlowsPerBalancer_ = 6; ///< New flows a second.
 };
 
 struct ColdOutcome {
-  double PeakRatio_ = 0; ///< Most flows in a sliding second, over the limit.
-  double Used_ = 0;      ///< Flows of the cold, over what they bear.
-  double Rejected_ = 0;  ///< Share of all flows.
+  double PeakRatio_ = 0;   ///< Most flows in any second, over the limit.
+  double Utilization_ = 0; ///< Flows to cold upstreams over their limit.
+  double Rejected_ = 0;    ///< Rejected share of all flows.
 };
 
-/// Plays \p For seconds, in which the cold stay cold.
-ColdOutcome play(const ColdScenario &Scenario, AdmissionPolicy Way, double For,
-                 std::uint64_t Seed);
+/// Simulates \p For seconds; the cold upstreams stay cold.
+ColdOutcome simulate(const ColdScenario &Scenario, AdmissionPolicy Policy,
+                     double For, std::uint64_t Seed);
 
-std::string nameOf(AdmissionPolicy Way);
+std::string nameOf(AdmissionPolicy Policy);
 std::string nameOf(MembershipModel Which);
 
 } // namespace thymewall::test
--- a/test/silence-evidence-test.cc
+++ b/test/silence-evidence-test.cc
@@ -1,5 +1,5 @@
-// How much silence speaks against an upstream, by itself and in fleets whose
-// hosts come back after a loss.
+// Thresholds of failed requests, alone and in simulated fleets whose hosts fail
+// and return.
 #include "silence-fleet.h"
 #include "thymewall/silence-evidence.h"
 
@@ -9,7 +9,7 @@
 using namespace thymewall::test;
 using namespace std::chrono_literals;
 
-TEST_CASE("the more upstreams are silent, the more it takes to suspect one") {
+TEST_CASE("the threshold grows with the number of failing upstreams") {
   CHECK(FailureEvidence::thresholdAmong(479, 0) == 1);
   CHECK(FailureEvidence::thresholdAmong(0, 0) == 1);
   CHECK(FailureEvidence::thresholdAmong(13, 1) == 2);
@@ -23,7 +23,7 @@
             FailureEvidence::thresholdAmong(Others, Silent));
 }
 
-TEST_CASE("a request counts once, for a while, until the upstream answers") {
+TEST_CASE("a failed request counts once, until it expires or is cleared") {
   FailureEvidence E;
   MonoTime Now(100s);
   CHECK(E.add(Now, 1, FlowId{7}));
@@ -43,7 +43,7 @@
 
 namespace {
 
-/// Hosts, upstreams and requests a second of a fleet, as entry hosts have them.
+/// Sizes of a fleet; requests a second.
 struct Size {
   std::size_t Hosts_;
   std::size_t Upstreams_;
@@ -51,57 +51,58 @@
 };
 const Size Sizes[] = {{8, 14, 375}, {88, 120, 1125}, {295, 480, 2813}};
 
-/// The figures of docs/DECISIONS.md.
-void tell(const Size &S, const SilenceFleet &Fleet) {
+/// Prints the shares of wrong verdicts.
+void report(const Size &S, const StallFleet &Fleet) {
   double Pairs = static_cast<double>(S.Hosts_ * S.Upstreams_) / 100;
-  MESSAGE(S.Hosts_, " hosts: ", static_cast<double>(Fleet.suspected()) / Pairs,
+  MESSAGE(S.Hosts_,
+          " hosts: ", static_cast<double>(Fleet.falselySuspected()) / Pairs,
           "% of pairs falsely suspected, ",
-          static_cast<double>(Fleet.sickTaking()) / Pairs,
-          "% are sick and chosen");
+          static_cast<double>(Fleet.hangingEligible()) / Pairs,
+          "% hanging but eligible");
 }
 
 } // namespace
 
-TEST_CASE("hosts that come back make hardly any well upstream suspect") {
+TEST_CASE("returning hosts cause few healthy upstreams to be suspected") {
   for (const Size &S : Sizes) {
-    SilenceFleet Fleet(S.Hosts_, S.Upstreams_, S.Requests_);
-    Fleet.lose(S.Hosts_ * 4 / 5);
+    StallFleet Fleet(S.Hosts_, S.Upstreams_, S.Requests_);
+    Fleet.failHosts(S.Hosts_ * 4 / 5);
     Fleet.run(3s);
-    Fleet.comeBack(400ms);
+    Fleet.restoreHosts(400ms);
     Fleet.run(6s);
     CAPTURE(S.Hosts_);
-    tell(S, Fleet);
-    // Each balancer suspects at most one in twenty at any time.
-    CHECK(Fleet.suspected() * 20 <= S.Upstreams_ * S.Hosts_);
+    report(S, Fleet);
+    // At most one in twenty on average over the balancers.
+    CHECK(Fleet.falselySuspected() * 20 <= S.Upstreams_ * S.Hosts_);
     CHECK(Fleet.served() > Fleet.requests() * 95 / 100);
   }
 }
 
-TEST_CASE("upstreams that hang are found within two seconds") {
+TEST_CASE("hanging upstreams are found within two seconds") {
   for (const Size &S : Sizes) {
-    SilenceFleet Fleet(S.Hosts_, S.Upstreams_, S.Requests_);
+    StallFleet Fleet(S.Hosts_, S.Upstreams_, S.Requests_);
     Fleet.run(2s);
-    Fleet.hang(S.Upstreams_ / 5);
+    Fleet.hangUpstreams(S.Upstreams_ / 5);
     Fleet.run(4s);
     CAPTURE(S.Hosts_);
-    tell(S, Fleet);
-    CHECK(Fleet.sickTaking() * 10 <= S.Hosts_ * (S.Upstreams_ / 5));
-    CHECK(Fleet.suspected() * 20 <= S.Upstreams_ * S.Hosts_);
+    report(S, Fleet);
+    CHECK(Fleet.hangingEligible() * 10 <= S.Hosts_ * (S.Upstreams_ / 5));
+    CHECK(Fleet.falselySuspected() * 20 <= S.Upstreams_ * S.Hosts_);
   }
 }
 
-TEST_CASE("and also when hosts come back meanwhile") {
+TEST_CASE("hanging upstreams are also found while hosts return") {
   for (const Size &S : Sizes) {
-    SilenceFleet Fleet(S.Hosts_, S.Upstreams_, S.Requests_);
-    Fleet.lose(S.Hosts_ * 3 / 5);
+    StallFleet Fleet(S.Hosts_, S.Upstreams_, S.Requests_);
+    Fleet.failHosts(S.Hosts_ * 3 / 5);
     Fleet.run(2s);
-    Fleet.hang(S.Upstreams_ / 5);
+    Fleet.hangUpstreams(S.Upstreams_ / 5);
     Fleet.run(2300ms);
-    Fleet.comeBack(400ms);
+    Fleet.restoreHosts(400ms);
     Fleet.run(4500ms);
     CAPTURE(S.Hosts_);
-    tell(S, Fleet);
-    CHECK(Fleet.sickTaking() * 5 <= S.Hosts_ * (S.Upstreams_ / 5));
-    CHECK(Fleet.suspected() * 20 <= S.Upstreams_ * S.Hosts_);
+    report(S, Fleet);
+    CHECK(Fleet.hangingEligible() * 5 <= S.Hosts_ * (S.Upstreams_ / 5));
+    CHECK(Fleet.falselySuspected() * 20 <= S.Upstreams_ * S.Hosts_);
   }
 }
--- a/test/silence-fleet.cc
+++ b/test/silence-fleet.cc
@@ -8,9 +8,9 @@
 
 const Endpoint ServiceAt = Endpoint::v4(0xc6120001, 8443);
 constexpr ServiceId Service{1};
-/// One way through the fleet's links.
+/// Delay of a warning between two hosts.
 constexpr Micros WarningDelay = 20ms;
-/// From an opening to the caller's acknowledgement and request.
+/// Time from an opening to the caller's acknowledgement and request.
 constexpr Micros OpenDelay = 6ms;
 constexpr Micros WorkDelay = 45ms;
 
@@ -24,16 +24,16 @@
 
 } // namespace
 
-SilenceFleet::SilenceFleet(std::size_t Hosts, std::size_t Upstreams,
-                           std::size_t RequestsPerSecond)
+StallFleet::StallFleet(std::size_t Hosts, std::size_t Upstreams,
+                       std::size_t RequestsPerSecond)
     : Hosts_(Hosts), Upstreams_(Upstreams),
-      Between_(Micros(1s) / static_cast<long>(RequestsPerSecond)) {
+      RequestInterval_(Micros(1s) / static_cast<long>(RequestsPerSecond)) {
   for (std::size_t Which = 0; Which < Hosts; ++Which)
     start(Which);
   request();
 }
 
-void SilenceFleet::start(std::size_t Which) {
+void StallFleet::start(std::size_t Which) {
   Host &H = Hosts_[Which];
   auto OnBelief = [&H](const Belief &B) {
     if (B.Kind_ == Belief::Kind::Stalled)
@@ -55,62 +55,62 @@
     tick(Which);
 }
 
-void SilenceFleet::lose(std::size_t Count) {
+void StallFleet::failHosts(std::size_t Count) {
   for (std::size_t Which = Hosts_.size() - Count; Which < Hosts_.size();
        ++Which)
-    Hosts_[Which].In_ = false;
+    Hosts_[Which].Running_ = false;
 }
 
-void SilenceFleet::comeBack(Micros Within) {
+void StallFleet::restoreHosts(Micros Within) {
   for (std::size_t Which = 0; Which < Hosts_.size(); ++Which) {
-    if (Hosts_[Which].In_)
+    if (Hosts_[Which].Running_)
       continue;
     auto Share = static_cast<double>(hashPair(Which, 1) % 1000) / 1000;
     Events_.after(std::chrono::duration_cast<Micros>(Within * Share), [=] {
       start(Which);
-      Hosts_[Which].In_ = true;
-      linkAnew(Which);
+      Hosts_[Which].Running_ = true;
+      reconnect(Which);
     });
   }
 }
 
-/// A start opens some links, and only the peers of those hear of it.
-void SilenceFleet::linkAnew(std::size_t Which) {
+/// Notifies a few peers, to which a starting host connects.
+void StallFleet::reconnect(std::size_t Which) {
   Hosts_[Which].Core_->arrived(Events_.now());
   for (std::uint64_t Link = 0; Link < 3; ++Link) {
     Host &Peer = Hosts_[hashPair(Which, Link + 10) % Hosts_.size()];
-    if (Peer.In_)
+    if (Peer.Running_)
       Peer.Core_->arrived(Events_.now());
   }
 }
 
-void SilenceFleet::tick(std::size_t Which) {
-  if (Hosts_[Which].In_)
+void StallFleet::tick(std::size_t Which) {
+  if (Hosts_[Which].Running_)
     Hosts_[Which].Core_->tick(Events_.now());
-  Micros Apart(static_cast<long>(hashPair(Which, 2) % 1000));
-  Events_.after(PacketBalancer::TickEvery + Apart, [=] { tick(Which); });
+  Micros Jitter(static_cast<long>(hashPair(Which, 2) % 1000));
+  Events_.after(PacketBalancer::TickEvery + Jitter, [=] { tick(Which); });
 }
 
-void SilenceFleet::warn(std::size_t From, const UpstreamWarning &M) {
+void StallFleet::warn(std::size_t From, const UpstreamWarning &M) {
   Events_.after(WarningDelay, [=] {
     for (std::size_t Which = 0; Which < Hosts_.size(); ++Which) {
       Host &H = Hosts_[Which];
-      if (Which != From && H.In_ &&
-          H.Heard_.insert({raw(M.Upstream_), M.Flow_}).second)
+      if (Which != From && H.Running_ &&
+          H.SeenWarnings_.insert({raw(M.Upstream_), M.Flow_}).second)
         H.Core_->warned(Events_.now(), M);
     }
   });
 }
 
-/// Rendezvous: a host that comes or goes moves its own flows alone.
-PacketBalancer &SilenceFleet::picked(const Packet &P) {
+/// Rendezvous hashing: a host that joins or leaves moves only its own flows.
+PacketBalancer &StallFleet::balancerFor(const Packet &P) {
   std::uint64_t Flow =
       P.Caller_.Port_ + std::uint64_t{65536} * P.Caller_.Address_[15];
   std::size_t Best = Hosts_.size();
   std::uint64_t BestScore = 0;
   for (std::size_t Which = 0; Which < Hosts_.size(); ++Which) {
-    std::uint64_t Score = Hosts_[Which].In_ ? hashPair(Flow, Which) : 0;
-    if (Score >= BestScore && Hosts_[Which].In_) {
+    std::uint64_t Score = Hosts_[Which].Running_ ? hashPair(Flow, Which) : 0;
+    if (Score >= BestScore && Hosts_[Which].Running_) {
       Best = Which;
       BestScore = Score;
     }
@@ -118,8 +118,8 @@
   return *Hosts_[Best].Core_;
 }
 
-void SilenceFleet::request() {
-  Events_.after(Between_, [this] { request(); });
+void StallFleet::request() {
+  Events_.after(RequestInterval_, [this] { request(); });
   ++Requests_;
   Packet P;
   P.Caller_ = Endpoint::v4(0x64400000 + Requests_ / 60'000,
@@ -127,7 +127,7 @@
   P.Service_ = ServiceAt;
   Packet Opening = P;
   Opening.Opens_ = true;
-  Verdict V = picked(P).steer(Events_.now(), Opening);
+  Verdict V = balancerFor(P).steer(Events_.now(), Opening);
   const auto *F = std::get_if<Forward>(&V);
   if (!F)
     return;
@@ -135,10 +135,10 @@
   P.Cookie_ = F->Cookie_;
   Events_.after(OpenDelay, [this, P]() mutable {
     P.Acknowledged_ = 1000;
-    picked(P).steer(Events_.now(), P);
+    balancerFor(P).steer(Events_.now(), P);
     P.Sequence_ = 1;
     P.DataSize_ = 100;
-    picked(P).steer(Events_.now(), P);
+    balancerFor(P).steer(Events_.now(), P);
   });
   bool Hangs = raw(F->Upstream_) <= Hanging_;
   if (Hangs)
@@ -146,24 +146,25 @@
   Events_.after(OpenDelay + WorkDelay, [this, P]() mutable {
     ++Served_;
     P.Acknowledged_ = 5000;
-    picked(P).steer(Events_.now(), P);
+    balancerFor(P).steer(Events_.now(), P);
   });
 }
 
-std::size_t SilenceFleet::suspected() const {
+std::size_t StallFleet::falselySuspected() const {
   std::size_t Count = 0;
   for (const Host &H : Hosts_)
     for (std::uint64_t Id : H.Suspected_)
-      if (H.In_ && Id > Hanging_)
+      if (H.Running_ && Id > Hanging_)
         ++Count;
   return Count;
 }
 
-std::size_t SilenceFleet::sickTaking() const {
+std::size_t StallFleet::hangingEligible() const {
   std::size_t Count = 0;
   for (const Host &H : Hosts_)
     for (const SteeredUpstream &Up : H.Core_->status(Events_.now()).Upstreams_)
-      if (H.In_ && raw(Up.Incarnation_) <= Hanging_ && Up.NotChosen_.empty())
+      if (H.Running_ && raw(Up.Incarnation_) <= Hanging_ &&
+          Up.NotChosen_.empty())
         ++Count;
   return Count;
 }
--- a/test/three-upstreams.h
+++ b/test/three-upstreams.h
@@ -1,6 +1,6 @@
 /// \file
-/// A packet balancer with three upstreams of one service that records what it
-/// asks for. For tests of what it believes of upstreams.
+/// Test fixture: a packet balancer with three upstreams of one service that
+/// records its checks, resets and warnings.
 #ifndef THYMEWALL_TEST_THREE_UPSTREAMS_H
 #define THYMEWALL_TEST_THREE_UPSTREAMS_H
 
@@ -32,7 +32,6 @@
   return P;
 }
 
-/// A balancer with three upstreams; records what it asks for.
 class RecordingBalancer {
 public:
   RecordingBalancer()
@@ -61,7 +60,7 @@
     return F ? raw(F->Upstream_) : 0;
   }
 
-  /// Data or, with no size, an acknowledgement.
+  /// Sends data or, if \p Size is 0, a bare acknowledgement.
   void follow(std::chrono::milliseconds Time, std::uint16_t Port,
               std::uint64_t Upstream, std::uint32_t Acknowledged,
               std::uint32_t Sequence = 0, std::uint16_t Size = 0) {
@@ -84,7 +83,8 @@
     B_.steer(at(Time), P);
   }
 
-  /// Opens a flow and sends a request on it, at 0 to 10 ms; gives its upstream.
+  /// Opens a flow and sends a request on it, at 0 to 10 ms; returns its
+  /// upstream.
   std::uint64_t request(std::uint16_t Port) {
     std::uint64_t Upstream = open(0ms, Port);
     follow(5ms, Port, Upstream, 1000);
@@ -92,13 +92,13 @@
     return Upstream;
   }
 
-  /// The same, answered \p After it was sent.
+  /// Does the same and acknowledges an answer \p After the request.
   void answered(std::uint16_t Port, std::chrono::milliseconds After = 20ms) {
     std::uint64_t Upstream = request(Port);
     follow(10ms + After, Port, Upstream, 5000);
   }
 
-  /// Some of 100 new flows go to the upstream.
+  /// Returns whether any of 100 new flows goes to the upstream.
   bool takesFlows(std::uint64_t Upstream, std::chrono::milliseconds Time) {
     for (std::uint16_t Port = 1000; Port < 1100; ++Port)
       if (open(Time, Port) == Upstream)
--- a/test/upstream-check-test.cc
+++ b/test/upstream-check-test.cc
@@ -1,4 +1,4 @@
-// When a packet balancer holds an upstream to be dead and resets its flows, and
+// When a packet balancer considers an upstream dead and resets its flows, and
 // when it must not.
 #include "three-upstreams.h"
 
@@ -9,8 +9,8 @@
 using namespace thymewall;
 using namespace thymewall::test;
 
-TEST_CASE("a request sent again without progress asks for a check, once a "
-          "second") {
+TEST_CASE("a retransmitted request without progress triggers a check, at most "
+          "once a second") {
   RecordingBalancer B;
   std::uint64_t Up = B.request(1);
   CHECK(B.Checks_.empty());
@@ -23,15 +23,15 @@
   CHECK(B.Resets_.empty());
 }
 
-TEST_CASE("a copy of an opening asks for a check of the silent upstream") {
+TEST_CASE("a duplicate of an opening triggers a check of the first upstream") {
   RecordingBalancer B;
   std::uint64_t First = B.open(0ms, 1);
   B.open(200ms, 1, 1);
   CHECK(B.Checks_ == std::vector<std::uint64_t>{First});
 }
 
-TEST_CASE(
-    "proof of death resets every open flow of the upstream and no other") {
+TEST_CASE("a check that proves an upstream dead resets its open flows and no "
+          "others") {
   RecordingBalancer B;
   std::set<std::uint16_t> Lost;
   std::uint64_t Dead = B.request(1);
@@ -46,21 +46,21 @@
   for (const ResetFlow &R : B.Resets_) {
     Reset.insert(R.Caller_.Port_);
     CHECK(R.Service_ == ServiceAt);
-    CHECK(R.Sequence_ == 1000); // the caller takes what it has acknowledged
+    CHECK(R.Sequence_ == 1000); // the sequence number the caller expects
   }
   CHECK(Reset == Lost);
   CHECK(B.Resets_.size() == Lost.size());
   for (std::uint16_t Port = 100; Port < 150; ++Port)
     CHECK(B.open(400ms, Port) != Dead);
-  B.checked(380ms, Dead, CheckResult::Dead, 210ms); // nothing is left to reset
+  B.checked(380ms, Dead, CheckResult::Dead, 210ms); // no flow is left
   CHECK(B.Resets_.size() == Lost.size());
 }
 
-TEST_CASE("a dead upstream takes no new flow until a check reaches it again") {
+TEST_CASE("a dead upstream takes no new flows until a check succeeds") {
   RecordingBalancer B;
   std::uint64_t Dead = B.request(1);
   B.checked(370ms, Dead, CheckResult::Dead, 210ms);
-  // Checked again by itself, less and less often.
+  // Rechecked at growing intervals.
   std::vector<std::chrono::milliseconds> Asked;
   auto Now = 500ms;
   for (; Now < 20s; Now += 250ms) {
@@ -76,25 +76,25 @@
   REQUIRE(Asked.size() >= 4);
   CHECK(Asked.size() <= 8);
   CHECK(Asked[0] <= 1750ms);
-  SUBCASE("a check reaches it") {
+  SUBCASE("a check succeeds") {
     B.checked(Now, Dead, CheckResult::Connected, Now - 2ms);
     CHECK(B.takesFlows(Dead, Now));
     B.Checks_.clear();
     for (auto Later = Now; Later < Now + 10s; Later += 250ms)
       B.B_.tick(at(Later));
-    CHECK(B.Checks_.empty()); // it is not dead any more
+    CHECK(B.Checks_.empty()); // no longer dead
   }
-  SUBCASE("a disturbed check proves nothing") {
+  SUBCASE("an unclear check changes nothing") {
     B.checked(Now, Dead, CheckResult::Unclear, Now - 160ms);
     CHECK_FALSE(B.takesFlows(Dead, Now));
   }
-  SUBCASE("the process slept: nothing is believed any more") {
+  SUBCASE("the process was suspended: its verdicts are cleared") {
     B.B_.tick(at(Now + 5s));
     CHECK(B.takesFlows(Dead, Now + 5s));
   }
 }
 
-TEST_CASE("an upstream that is published again is checked at once") {
+TEST_CASE("a dead upstream that is published again is checked at once") {
   RecordingBalancer B;
   std::uint64_t Dead = B.request(1);
   B.checked(370ms, Dead, CheckResult::Dead, 210ms);
@@ -102,34 +102,35 @@
   B.B_.tick(at(500ms));
   for (auto Now = 750ms; Now < 9s; Now += 250ms)
     B.B_.tick(at(Now));
-  CHECK(B.Checks_.empty()); // gone: nobody waits for it
+  CHECK(B.Checks_.empty()); // no longer published
   B.B_.applyUpstreams(at(9s), {up(Dead)});
   B.B_.tick(at(9s));
   CHECK(B.Checks_ == std::vector<std::uint64_t>{Dead});
 }
 
-TEST_CASE("flows that come to a dead upstream later are reset by its checks") {
+TEST_CASE(
+    "flows that reach a dead upstream later are reset by the next check") {
   RecordingBalancer B;
   std::uint64_t Dead = B.request(1);
   B.checked(370ms, Dead, CheckResult::Dead, 210ms);
   REQUIRE(B.Resets_.size() == 1);
-  // Opened by another balancer; its caller sends a request now.
+  // A flow that another balancer opened.
   B.follow(400ms, 2, Dead, 1000, 1, 100);
   B.checked(1700ms, Dead, CheckResult::Dead, 1540ms);
   CHECK(B.Resets_.size() == 2);
 }
 
-TEST_CASE("a peer's warning of a dead upstream asks for a check of our own") {
+TEST_CASE("a peer's warning of a dead upstream triggers an own check") {
   RecordingBalancer B;
   std::uint64_t Up = B.request(1);
   B.B_.warned(at(100ms), {Incarnation{Up}, UpstreamWarning::Kind::Dead});
-  CHECK(B.Checks_.empty()); // spread over the ticks of the fleet
+  CHECK(B.Checks_.empty()); // deferred to the next tick
   B.B_.tick(at(250ms));
   CHECK(B.Checks_ == std::vector<std::uint64_t>{Up});
   B.B_.tick(at(1500ms));
   CHECK(B.Checks_.size() == 1);
   CHECK(B.Resets_.empty()); // a warning alone proves nothing
-  // Of one that is gone, or that nobody knows: nothing.
+  // Warnings of removed or unknown upstreams are ignored.
   B.B_.applyUpstreams(at(1600ms), {{Incarnation{Up}, 2, std::nullopt}});
   B.B_.warned(at(1700ms), {Incarnation{Up}, UpstreamWarning::Kind::Dead});
   B.B_.warned(at(1700ms), {Incarnation{99}, UpstreamWarning::Kind::Dead});
@@ -137,22 +138,22 @@
   CHECK(B.Checks_.size() == 1);
 }
 
-TEST_CASE("an upstream that lives keeps its flows") {
-  SUBCASE("it accepts connections, however slow it is") {
+TEST_CASE("an upstream that is alive keeps its flows") {
+  SUBCASE("it accepts connections but answers slowly") {
     RecordingBalancer B;
     std::uint64_t Up = B.request(1);
     B.follow(210ms, 1, Up, 1000, 1, 100);
     B.checked(215ms, Up, CheckResult::Connected, 210ms);
     CHECK(B.Resets_.empty());
   }
-  SUBCASE("the check was disturbed") {
+  SUBCASE("the check is unclear") {
     RecordingBalancer B;
     std::uint64_t Up = B.request(1);
     B.follow(210ms, 1, Up, 1000, 1, 100);
     B.checked(900ms, Up, CheckResult::Unclear, 210ms);
     CHECK(B.Resets_.empty());
   }
-  SUBCASE("another of its flows went on meanwhile: only the check was cut") {
+  SUBCASE("another of its flows made progress during the check") {
     RecordingBalancer B;
     std::uint64_t Up = B.request(1);
     std::uint16_t Other = 2;
@@ -163,20 +164,20 @@
     B.checked(370ms, Up, CheckResult::Dead, 210ms);
     CHECK(B.Resets_.empty());
   }
-  SUBCASE("it is draining: it ends its flows itself") {
+  SUBCASE("it is draining") {
     RecordingBalancer B;
     std::uint64_t Up = B.request(1);
     B.B_.applyUpstreams(at(100ms), {up(Up, true)});
     B.follow(210ms, 1, Up, 1000, 1, 100);
     CHECK(B.Checks_.empty());
   }
-  SUBCASE("it works on a request for long: the caller sends nothing again") {
+  SUBCASE("the caller retransmits nothing") {
     RecordingBalancer B;
     std::uint64_t Up = B.request(1);
     B.follow(20ms, 1, Up, 1000); // an acknowledgement alone
     CHECK(B.Checks_.empty());
   }
-  SUBCASE("the caller took the first answer though its copy went elsewhere") {
+  SUBCASE("a duplicate opening went elsewhere, but the first was answered") {
     RecordingBalancer B;
     std::uint64_t First = B.open(0ms, 1);
     std::uint64_t Second = B.open(200ms, 1, 1);
@@ -188,7 +189,7 @@
     B.checked(600ms, First, CheckResult::Dead, 440ms);
     CHECK(B.Resets_.size() == 1);
   }
-  SUBCASE("a late result of another start at the same place") {
+  SUBCASE("the result is for another incarnation with the same cookie") {
     RecordingBalancer B;
     std::uint64_t Up = B.request(1);
     B.follow(210ms, 1, Up, 1000, 1, 100);
@@ -197,7 +198,7 @@
   }
 }
 
-TEST_CASE("without proof no flow is ever reset") {
+TEST_CASE("no flow is reset without a check that proves its upstream dead") {
   rc::check([] {
     RecordingBalancer B;
     auto Now = 0ms;
@@ -224,7 +225,7 @@
         B.B_.applyUpstreams(at(Now), {up(Id, Number == 0)});
         break;
       case 5: {
-        // Silent to the check, but a flow of it has gone on since.
+        // The check fails, but a flow has made progress since.
         bool Any = false;
         for (std::uint16_t P = 1; P < 10 && !Any; ++P)
           if (Ups[P] == Id) {
--- a/test/upstream-codec-test.cc
+++ b/test/upstream-codec-test.cc
@@ -25,7 +25,7 @@
 
 } // namespace
 
-TEST_CASE("an upstream of a long list takes 40 bytes") {
+TEST_CASE("an upstream in a long list takes at most 40 bytes") {
   std::vector<UpstreamChange> Changes;
   for (std::uint64_t Id = 0; Id < 6000; ++Id)
     Changes.push_back(listed(Id));
@@ -34,7 +34,7 @@
   CHECK(decodeChanges(J, Now) == Changes);
 }
 
-TEST_CASE("changes that are damaged are refused, never misread beyond memory") {
+TEST_CASE("corrupted changes are decoded or rejected by an exception") {
   std::vector<UpstreamChange> Changes = {
       listed(1), {Incarnation{9}, 7, std::nullopt}, listed(2)};
   auto Bytes = nlohmann::json::to_cbor(encodeChanges(Changes, Now));
--- a/test/upstream-list-test.cc
+++ b/test/upstream-list-test.cc
@@ -29,7 +29,7 @@
   return List.apply(Batch, Ignored);
 }
 
-/// What a list holds, as identifiers and slots.
+/// Returns the slots of each listed upstream.
 std::map<std::uint64_t, std::uint32_t> contents(const UpstreamList &List) {
   std::map<std::uint64_t, std::uint32_t> Result;
   UpstreamBatch All = List.changesSince(0);
@@ -41,7 +41,7 @@
 
 } // namespace
 
-TEST_CASE("a batch that starts after what is known is a gap") {
+TEST_CASE("a batch that leaves a gap is rejected") {
   UpstreamList List;
   REQUIRE(apply(List, {true, 0, 10, {put(1, 4), put(2, 9)}, {}}));
   CHECK_FALSE(apply(List, {false, 12, 14, {put(3, 13)}, {}}));
@@ -51,7 +51,7 @@
   CHECK(contents(List) == std::map<std::uint64_t, std::uint32_t>{{2, 1}});
 }
 
-TEST_CASE("an older whole list brings nothing back") {
+TEST_CASE("an older snapshot does not restore removed upstreams") {
   UpstreamList List;
   REQUIRE(apply(List, {true, 0, 10, {put(1, 4), put(2, 9)}, {}}));
   REQUIRE(apply(List, {false, 10, 11, {gone(1, 11)}, {}}));
@@ -60,7 +60,7 @@
   CHECK(List.through() == 11);
 }
 
-TEST_CASE("what a whole list lacks is gone, and is told") {
+TEST_CASE("upstreams missing from a snapshot are removed and reported") {
   UpstreamList List;
   REQUIRE(apply(List, {true, 0, 10, {put(1, 4), put(2, 9)}, {}}));
   std::vector<UpstreamChange> Applied;
@@ -71,23 +71,25 @@
   CHECK_FALSE(Applied[1].Entry_);
 }
 
-TEST_CASE("an entry listed after the list's own revision stays") {
-  // Pages are no snapshot: a later page may hold what changed after the first.
+TEST_CASE("an entry newer than the revision of its snapshot is kept") {
+  // Lists are read in pages; a later page may have newer changes.
   UpstreamList List;
   REQUIRE(apply(List, {true, 0, 10, {put(1, 4), put(2, 12)}, {}}));
   REQUIRE(apply(List, {false, 10, 12, {put(2, 12)}, {}}));
   CHECK(List.size() == 2);
 }
 
-TEST_CASE("a peer that is behind is told of changes, or of all when ends are "
-          "forgotten") {
+TEST_CASE(
+    "a peer that is behind gets changes, or a snapshot if removals are no "
+    "longer kept") {
   UpstreamList List;
   REQUIRE(apply(List, {true, 0, 10, {put(1, 4), put(2, 9)}, {}}));
   REQUIRE(apply(List, {false, 10, 13, {gone(1, 11), put(3, 12)}, {}}));
   UpstreamBatch Delta = List.changesSince(10);
   CHECK_FALSE(Delta.Whole_);
   CHECK(Delta.Changes_.size() == 2);
-  CHECK(List.changesSince(9).Whole_); // ends before the list are not known
+  CHECK(List.changesSince(9)
+            .Whole_); // removals before the snapshot are not known
   for (Revision R = 14; R < 20 + 2 * UpstreamList::MaxTombstones; R += 2)
     REQUIRE(
         apply(List, {false, R - 1, R + 1, {put(R, R), gone(R, R + 1)}, {}}));
@@ -95,7 +97,7 @@
   CHECK_FALSE(List.changesSince(List.through() - 4).Whole_);
 }
 
-TEST_CASE("a whole list names what the receiver has already") {
+TEST_CASE("a snapshot omits the entries that the receiver has") {
   UpstreamList Sender;
   UpstreamList Receiver;
   REQUIRE(
@@ -107,15 +109,16 @@
   CHECK(Batch.Unchanged_ == std::vector<Incarnation>{Incarnation{1}});
   REQUIRE(apply(Receiver, Batch));
   CHECK(contents(Receiver) == contents(Sender));
-  UpstreamList Behind; // not complete through what the sender took for known
+  UpstreamList Behind; // not complete through `After_`
   CHECK_FALSE(apply(Behind, Batch));
 }
 
-TEST_CASE("what has ended is told to those that start, with its last entry") {
+TEST_CASE("removed upstreams are sent to a starting balancer with their last "
+          "entries") {
   UpstreamList Old;
   REQUIRE(apply(Old, {true, 0, 10, {put(1, 4), put(2, 9), put(3, 3)}, {}}));
   REQUIRE(apply(Old, {false, 10, 12, {put(1, 11, 2), gone(1, 12)}, {}}));
-  REQUIRE(apply(Old, {true, 0, 20, {put(3, 3)}, {}})); // 2 is absent
+  REQUIRE(apply(Old, {true, 0, 20, {put(3, 3)}, {}})); // removes 2
   REQUIRE(Old.ended().size() == 2);
 
   UpstreamList Started;
@@ -127,26 +130,26 @@
   REQUIRE(Applied.size() == 2);
   CHECK(Applied[0].Ended_);
   CHECK(Applied[0].Entry_ == entry(1, 2));
-  CHECK(Applied[0].Revision_ == 11); // when it was listed so
+  CHECK(Applied[0].Revision_ == 11); // revision of the last entry
   CHECK(Applied[1].Entry_ == entry(2));
   CHECK(Started.size() == 1);
 
-  // Once, not of one that is listed here, and to others in turn.
+  // Applied only once, and kept for others.
   Applied.clear();
   REQUIRE(Started.apply(Told, Applied));
   CHECK(Applied.empty());
   CHECK(Started.ended().size() == 2);
   UpstreamList Lists;
   REQUIRE(apply(Lists, {true, 0, 9, {put(2, 9)}, {}}));
-  REQUIRE(Lists.apply(Told, Applied) == false); // a gap: nothing is taken
+  REQUIRE(Lists.apply(Told, Applied) == false); // a gap
   CHECK(Applied.empty());
 
-  // Published again, it has not ended.
+  // Published again, it is no longer among the ended ones.
   REQUIRE(apply(Started, {false, 20, 21, {put(1, 21)}, {}}));
   CHECK(Started.ended().size() == 1);
 }
 
-TEST_CASE("of what has ended only the latest are kept") {
+TEST_CASE("only the latest removed upstreams are kept") {
   UpstreamList List;
   Revision At = 0;
   for (std::uint64_t Id = 1; Id <= UpstreamList::MaxEndedEntries + 10;
@@ -157,10 +160,10 @@
   CHECK(List.ended().front().Incarnation_ == Incarnation{11});
 }
 
-TEST_CASE("lists that take overlapping parts of one log in any order, by any "
-          "way, end alike") {
+TEST_CASE("lists converge when overlapping parts of one log are applied in any "
+          "order") {
   rc::check([] {
-    // The log of a service: upstreams come, change and go.
+    // A log of upstreams that are added, changed and removed.
     std::vector<UpstreamChange> Log;
     std::map<std::uint64_t, std::uint32_t> Truth;
     auto Length = *rc::gen::inRange<std::size_t>(1, 60);
@@ -200,14 +203,15 @@
 
 namespace {
 
-UpstreamChange born(std::uint64_t Id, Revision At, std::uint64_t BornMs) {
+UpstreamChange entryStartedAt(std::uint64_t Id, Revision At,
+                              std::uint64_t StartTimeMs) {
   UpstreamChange Change = put(Id, At);
-  Change.Entry_->StartTimeMs_ = BornMs;
+  Change.Entry_->StartTimeMs_ = StartTimeMs;
   return Change;
 }
 
-/// When the listed start of upstream 1 was born; 0 when it is not listed.
-std::uint64_t bornMs(const UpstreamList &List) {
+/// Returns the start time of upstream 1, or 0 if it is not listed.
+std::uint64_t startTimeMs(const UpstreamList &List) {
   for (const UpstreamChange &C : List.changesSince(0).Changes_)
     if (C.Incarnation_ == Incarnation{1})
       return C.Entry_->StartTimeMs_;
@@ -216,35 +220,41 @@
 
 } // namespace
 
-TEST_CASE("late news of an earlier start never undoes the later one") {
+TEST_CASE("a delayed entry of an earlier start does not replace a later one") {
   UpstreamList List;
   std::vector<UpstreamChange> Applied;
-  REQUIRE(List.apply({true, 0, 10, {born(1, 4, 100)}, {}}, Applied));
-  REQUIRE(List.apply({false, 10, 12, {born(1, 11, 200)}, {}}, Applied));
-  CHECK(bornMs(List) == 200);
-  SUBCASE("by a later revision") {
+  REQUIRE(List.apply({true, 0, 10, {entryStartedAt(1, 4, 100)}, {}}, Applied));
+  REQUIRE(
+      List.apply({false, 10, 12, {entryStartedAt(1, 11, 200)}, {}}, Applied));
+  CHECK(startTimeMs(List) == 200);
+  SUBCASE("with a later revision") {
     Applied.clear();
-    REQUIRE(List.apply({false, 12, 20, {born(1, 15, 100)}, {}}, Applied));
+    REQUIRE(
+        List.apply({false, 12, 20, {entryStartedAt(1, 15, 100)}, {}}, Applied));
     CHECK(Applied.empty());
-    CHECK(bornMs(List) == 200);
+    CHECK(startTimeMs(List) == 200);
   }
-  SUBCASE("in a whole list, where it is not absent either") {
-    REQUIRE(List.apply({true, 0, 20, {born(1, 15, 100)}, {}}, Applied));
-    CHECK(bornMs(List) == 200);
+  SUBCASE("in a snapshot, which does not remove the later one") {
+    REQUIRE(
+        List.apply({true, 0, 20, {entryStartedAt(1, 15, 100)}, {}}, Applied));
+    CHECK(startTimeMs(List) == 200);
   }
-  SUBCASE("after the later one has gone") {
+  SUBCASE("after the later one was removed") {
     REQUIRE(List.apply({false, 12, 20, {gone(1, 15)}, {}}, Applied));
-    REQUIRE(List.apply({false, 20, 30, {born(1, 25, 100)}, {}}, Applied));
+    REQUIRE(
+        List.apply({false, 20, 30, {entryStartedAt(1, 25, 100)}, {}}, Applied));
     CHECK(List.size() == 0);
-    REQUIRE(List.apply({false, 30, 40, {born(1, 35, 300)}, {}}, Applied));
-    CHECK(bornMs(List) == 300);
+    REQUIRE(
+        List.apply({false, 30, 40, {entryStartedAt(1, 35, 300)}, {}}, Applied));
+    CHECK(startTimeMs(List) == 300);
   }
 }
 
-TEST_CASE("an entry that tells no birth names none where births are told") {
+TEST_CASE("an entry without a start time removes one that has it") {
   UpstreamList List;
   std::vector<UpstreamChange> Applied;
-  REQUIRE(List.apply({true, 0, 10, {born(1, 4, 100), put(2, 5)}, {}}, Applied));
+  REQUIRE(List.apply({true, 0, 10, {entryStartedAt(1, 4, 100), put(2, 5)}, {}},
+                     Applied));
   REQUIRE(List.apply({false, 10, 12, {put(1, 11), put(2, 12)}, {}}, Applied));
   CHECK(contents(List) == std::map<std::uint64_t, std::uint32_t>{{2, 1}});
 }
--- a/test/upstream-stall-test.cc
+++ b/test/upstream-stall-test.cc
@@ -1,4 +1,4 @@
-// When silence of an upstream keeps new flows away from it, and when it must
+// When unanswered requests eject an upstream from new flows, and when they must
 // not.
 #include "three-upstreams.h"
 
@@ -7,12 +7,12 @@
 using namespace thymewall;
 using namespace thymewall::test;
 
-TEST_CASE("an upstream that takes requests and answers none gets no new flows "
-          "for a while") {
+TEST_CASE("an upstream that leaves requests unanswered is ejected from new "
+          "flows") {
   RecordingBalancer B;
-  B.answered(900); // what the service usually takes is known
+  B.answered(900); // sets the usual answer time of the service
   std::uint64_t Up = B.request(1);
-  SUBCASE("once its first request waits for longer than any work takes") {
+  SUBCASE("once a request exceeds the limit") {
     B.B_.tick(at(500ms));
     CHECK(B.takesFlows(Up, 510ms));
     B.B_.tick(at(750ms));
@@ -20,17 +20,17 @@
     CHECK(B.Resets_.empty());
     CHECK(B.Checks_.empty());
   }
-  SUBCASE("not if it has answered, by an acknowledgement") {
+  SUBCASE("not if the caller acknowledged an answer") {
     B.follow(60ms, 1, Up, 5000);
     B.B_.tick(at(750ms));
     CHECK(B.takesFlows(Up, 760ms));
   }
-  SUBCASE("or by the end of the flow") {
+  SUBCASE("not if the flow ended after an answer") {
     B.finish(60ms, 1, Up, 1600);
     B.B_.tick(at(750ms));
     CHECK(B.takesFlows(Up, 760ms));
   }
-  SUBCASE("nor if another of its flows was answered meanwhile") {
+  SUBCASE("not if another of its flows was answered meanwhile") {
     std::uint16_t Other = 2;
     while (B.request(Other) != Up)
       ++Other;
@@ -38,17 +38,17 @@
     B.B_.tick(at(750ms));
     CHECK(B.takesFlows(Up, 760ms));
   }
-  SUBCASE("for longer each time, and the same request counts once") {
+  SUBCASE("longer for consecutive stalls, counting each request once") {
     B.B_.tick(at(750ms));
     for (auto Now = 1000ms; Now < 3000ms; Now += 250ms)
       B.B_.tick(at(Now));
     CHECK(B.takesFlows(Up, 3000ms));
-    B.follow(3010ms, 2, Up, 1000, 1, 100); // another request, unanswered too
+    B.follow(3010ms, 2, Up, 1000, 1, 100); // another unanswered request
     for (auto Now = 3250ms; Now < 4000ms; Now += 250ms)
       B.B_.tick(at(Now));
     CHECK_FALSE(B.takesFlows(Up, 6500ms));
   }
-  SUBCASE("nor after a sleep of this process") {
+  SUBCASE("not after this process was suspended") {
     B.B_.tick(at(250ms));
     B.B_.tick(at(5s));
     CHECK(B.takesFlows(Up, 5s));
@@ -56,23 +56,23 @@
 }
 
 TEST_CASE(
-    "while callers are sent to other balancers, silence here says nothing") {
+    "unanswered requests do not count while callers use other balancers") {
   RecordingBalancer B;
   B.answered(900);
   std::uint64_t Up = B.request(1);
   B.B_.setServing(false);
   B.B_.tick(at(250ms));
-  B.B_.tick(at(750ms)); // the flow goes on at another balancer
+  B.B_.tick(at(750ms)); // another balancer sees the answer
   CHECK(B.takesFlows(Up, 760ms));
-  // An opening that may have been answered at another balancer is sent to a
-  // second upstream, and the first one is not held to be silent.
+  // A retried opening does not count against the first upstream, whose answer
+  // another balancer may have seen.
   std::uint64_t Opened = B.open(800ms, 2);
   Packet P = packet(2);
   P.Opens_ = true;
   CHECK(std::holds_alternative<Forward>(B.B_.retryOpening(at(840ms), P)));
   CHECK(B.takesFlows(Opened, 850ms));
   CHECK(B.Checks_.empty());
-  // Nor does what began then count once callers come here again.
+  // Requests from that time do not count after callers return either.
   B.B_.setServing(true);
   B.B_.tick(at(1000ms));
   CHECK(B.takesFlows(Up, 1010ms));
@@ -82,15 +82,15 @@
   CHECK_FALSE(B.takesFlows(Up, 1760ms));
 }
 
-TEST_CASE("a service that is slow and well loses no upstream") {
-  SUBCASE("before its first answer nothing is known of it") {
+TEST_CASE("a slow but healthy service loses no upstream") {
+  SUBCASE("before its first answer") {
     RecordingBalancer B;
     std::uint64_t Up = B.request(1);
     for (auto Now = 250ms; Now < 5s; Now += 250ms)
       B.B_.tick(at(Now));
     CHECK(B.takesFlows(Up, 5s));
   }
-  SUBCASE("then it is judged by what it usually takes") {
+  SUBCASE("judged by its usual answer time") {
     RecordingBalancer B;
     B.answered(900, 1000ms);
     std::uint64_t Up = B.request(1);
@@ -103,8 +103,8 @@
   }
 }
 
-TEST_CASE("openings that usually take long are not retried before that, and "
-          "cost no upstream its flows") {
+TEST_CASE("the wait before a retry follows the usual time of openings, and a "
+          "retry does not blame the second upstream") {
   RecordingBalancer B;
   CHECK(B.B_.openingWait() == 40ms);
   auto OpenIn = [&](std::chrono::milliseconds Begin, std::uint16_t Port,
@@ -119,7 +119,7 @@
     OpenIn(1s + Port * 10ms, Port, 45ms);
   CHECK(B.B_.openingWait() > 120ms);
   CHECK(B.B_.openingWait() <= 160ms);
-  // A copy that comes soon after a retry is no evidence against that one.
+  // A duplicate soon after a retry is no evidence against the second upstream.
   std::uint64_t First = B.open(4s, 300);
   Packet P = packet(300);
   P.Opens_ = true;
@@ -131,21 +131,21 @@
   CHECK(B.Checks_ == std::vector<std::uint64_t>{First});
 }
 
-TEST_CASE("a peer's warning of a stalled upstream keeps new flows away") {
+TEST_CASE("a peer's warning of a stalled upstream ejects it") {
   RecordingBalancer B;
   std::uint64_t Up = B.request(1);
   UpstreamWarning Stalled{Incarnation{Up}, UpstreamWarning::Kind::Stalled};
-  SUBCASE("for a while") {
+  SUBCASE("for two seconds") {
     B.B_.warned(at(1000ms), Stalled);
     CHECK_FALSE(B.takesFlows(Up, 2900ms));
     CHECK(B.takesFlows(Up, 3100ms));
   }
-  SUBCASE("however many peers see the same stall") {
+  SUBCASE("no longer if many peers report the same stall") {
     for (auto Now = 1000ms; Now < 2900ms; Now += 100ms)
       B.B_.warned(at(Now), Stalled);
     CHECK(B.takesFlows(Up, 3100ms));
   }
-  SUBCASE("longer when it stalls again after that") {
+  SUBCASE("longer if it stalls again afterwards") {
     B.B_.warned(at(1000ms), Stalled);
     B.B_.warned(at(3100ms), Stalled);
     CHECK_FALSE(B.takesFlows(Up, 7000ms));
@@ -159,42 +159,43 @@
   CHECK(B.Resets_.empty());
 }
 
-TEST_CASE("while the fabric moves flows, it takes two requests") {
+TEST_CASE(
+    "it takes two requests to eject an upstream while the fabric moves flows") {
   RecordingBalancer B;
-  B.B_.arrived(at(900ms)); // until 3.4 s
+  B.B_.arrived(at(900ms)); // flows move until 3.4 s
   std::uint64_t Up = B.request(1);
   auto Unanswered = [Up](std::uint64_t Flow) {
     return UpstreamWarning{Incarnation{Up}, UpstreamWarning::Kind::Stalled,
                            FlowId{Flow}};
   };
-  SUBCASE("not for one request, however often it is told of") {
+  SUBCASE("not for one request that is reported twice") {
     B.B_.warned(at(990ms), Unanswered(7));
     B.B_.warned(at(1000ms), Unanswered(7));
     CHECK(B.takesFlows(Up, 1010ms));
   }
-  SUBCASE("nor for two that are far apart") {
+  SUBCASE("not for two that are far apart") {
     B.B_.warned(at(990ms), Unanswered(7));
     B.B_.warned(at(3000ms), Unanswered(8));
     CHECK(B.takesFlows(Up, 3010ms));
   }
-  SUBCASE("one is enough again after that") {
+  SUBCASE("one is enough afterwards") {
     B.B_.warned(at(3900ms), Unanswered(7));
     CHECK_FALSE(B.takesFlows(Up, 3910ms));
   }
-  SUBCASE("for a while, once there are two") {
+  SUBCASE("for two requests") {
     B.B_.warned(at(990ms), Unanswered(7));
     B.B_.warned(at(1000ms), Unanswered(8));
     CHECK_FALSE(B.takesFlows(Up, 2900ms));
     CHECK(B.takesFlows(Up, 3100ms));
   }
-  SUBCASE("however many peers see the same stall") {
+  SUBCASE("no longer if many peers report the same stall") {
     std::uint64_t Flow = 7;
     B.B_.warned(at(990ms), Unanswered(Flow));
     for (auto Now = 1000ms; Now < 2900ms; Now += 100ms)
       B.B_.warned(at(Now), Unanswered(++Flow));
     CHECK(B.takesFlows(Up, 3100ms));
   }
-  SUBCASE("longer when it stalls again after that") {
+  SUBCASE("longer if it stalls again afterwards") {
     B.B_.warned(at(990ms), Unanswered(7));
     B.B_.warned(at(1000ms), Unanswered(8));
     B.B_.warned(at(3090ms), Unanswered(9));
@@ -208,7 +209,7 @@
     B.B_.warned(at(1000ms), Unanswered(8));
     CHECK(B.takesFlows(Up, 1010ms));
   }
-  SUBCASE("nor if it answers here between them") {
+  SUBCASE("not if it answers here between them") {
     B.B_.warned(at(700ms), Unanswered(7));
     B.follow(800ms, 1, Up, 5000);
     B.B_.warned(at(1500ms), Unanswered(8));
@@ -217,28 +218,28 @@
   CHECK(B.Resets_.empty());
 }
 
-TEST_CASE("silence of one's own counts once for each flow, and peers hear of "
-          "each") {
+TEST_CASE("own unanswered requests count once for each flow and are sent to "
+          "peers") {
   RecordingBalancer B;
   B.answered(900);
   std::uint64_t Up = B.request(1);
-  B.follow(20ms, 2, Up, 1000, 1, 100);  // a flow that a peer opened
-  B.follow(200ms, 1, Up, 1000, 1, 100); // the first one's data, sent again
+  B.follow(20ms, 2, Up, 1000, 1, 100);  // opened by a peer
+  B.follow(200ms, 1, Up, 1000, 1, 100); // a retransmission
   B.B_.tick(at(750ms));
   std::size_t Told = 0;
   for (const UpstreamWarning &M : B.Warnings_)
     if (M.Upstream_ == Incarnation{Up})
       ++Told;
-  CHECK(Told == 1); // then it is held to be stalled: no more is needed
+  CHECK(Told == 1); // ejected by the first, so no more are sent
   CHECK_FALSE(B.takesFlows(Up, 760ms));
 }
 
-TEST_CASE("after a stall few flows come back at first, then more") {
+TEST_CASE("new flows return gradually after a stall") {
   RecordingBalancer B;
   B.answered(900);
   std::uint64_t Up = B.request(1);
   B.B_.tick(at(750ms));         // no new flows until 2.75 s
-  B.finish(760ms, 1, Up, 1000); // its caller gives up
+  B.finish(760ms, 1, Up, 1000); // the caller gives up
   std::uint16_t Port = 10'000;
   auto Share = [&](std::chrono::milliseconds Time) {
     int Taken = 0;
@@ -255,5 +256,5 @@
   CHECK(First > 10);
   CHECK(First < 100);
   CHECK(Share(4500ms) > First);
-  CHECK(Share(8s) > 250); // its part of three
+  CHECK(Share(8s) > 250); // about a third
 }
--- a/test/upstream-table-test.cc
+++ b/test/upstream-table-test.cc
@@ -38,7 +38,8 @@
   return Result;
 }
 
-/// Opens flows one by one; gives the fullest upstream above the mean, percent.
+/// Opens flows one by one; returns by how many percent the most loaded upstream
+/// exceeds the mean.
 double imbalance(const Chooser &Choose, std::size_t Flows) {
   UpstreamTable Table;
   Table.declare(declare(14), at(0));
@@ -56,12 +57,12 @@
 
 } // namespace
 
-TEST_CASE("two choices on own counts even out what the plain hash does not") {
+TEST_CASE("two choices by own flows balance better than a plain hash") {
   CHECK(imbalance(chooseByOwnFlows, 28'000) < 0.5);
   CHECK(imbalance(chooseByHash, 28'000) > 1);
 }
 
-TEST_CASE("two candidates differ, stay the same, and are each of all pairs") {
+TEST_CASE("two candidates differ, are stable, and are drawn from all pairs") {
   UpstreamTable Table;
   Table.declare(declare(5), at(0));
   EligibleSet Among = eligible(5, 4);
@@ -74,8 +75,8 @@
     ++Pairs[Pair];
   }
   CHECK(Pairs.size() == 20U);
-  // Of 8 slots, the first upstream has 4: drawn first in 1/2, then each other
-  // in 1/4; another first in 1/8, then the first upstream in 4/7.
+  // The first upstream has 4 of 8 slots: it is drawn first with 1/2, then each
+  // other with 1/4; another is drawn first with 1/8, then the first with 4/7.
   for (std::size_t I = 1; I < 5; ++I) {
     CHECK(Pairs[{0, I}] > 900);
     CHECK(Pairs[{0, I}] < 1100);
@@ -84,7 +85,7 @@
   }
 }
 
-TEST_CASE("ejections in a row grow, until the upstream is seen to serve") {
+TEST_CASE("consecutive ejections grow until a success") {
   UpstreamTable Table(1);
   Table.declare(declare(1), at(0));
   auto EjectedFor = [&](int Now) {
@@ -99,7 +100,7 @@
   CHECK(EjectedFor(40'000) == UpstreamTable::BaseEjectionTime);
 }
 
-TEST_CASE("a failure while ejected for another reason counts as the first") {
+TEST_CASE("a failure during an ejection for another reason is the first") {
   UpstreamTable Table(1);
   Table.declare(declare(1), at(0));
   Table.eject(0, at(1000));
@@ -108,7 +109,7 @@
         at(0) + UpstreamTable::BaseEjectionTime);
 }
 
-TEST_CASE("the dead are left out however many they are, unless all are") {
+TEST_CASE("dead upstreams are not eligible unless all are dead") {
   UpstreamTable Table;
   Table.declare(declare(4), at(0));
   EligibleSet Among;
@@ -116,7 +117,7 @@
     Table.setDead(Index, true);
   Table.selectEligible(all(4), at(0), Among);
   CHECK(Among.Indexes_ == std::vector<std::uint32_t>{3});
-  // The last one living is ejected: better than one that is dead.
+  // An ejected upstream is preferred to dead ones.
   Table.eject(3, at(1000));
   Table.selectEligible(all(4), at(0), Among);
   CHECK(Among.Indexes_ == std::vector<std::uint32_t>{3});
@@ -131,7 +132,7 @@
   CHECK(Among.size() == 4);
 }
 
-TEST_CASE("slots weigh the candidates") {
+TEST_CASE("candidates are weighted by slots") {
   Declaration D = declare(2);
   D.Upstreams_[0].Slots_ = 3;
   UpstreamTable Table;
@@ -146,10 +147,10 @@
   CHECK(First < 3150);
 }
 
-TEST_CASE("a cold upstream takes a growing share") {
+TEST_CASE("an upstream in slow start takes a growing share") {
   UpstreamTable Table;
   Table.declare(declare(4), at(0));
-  Table.declare(declare(5), at(1000)); // up-4 is new, with no flows
+  Table.declare(declare(5), at(1000)); // up-4 is new
   for (std::uint32_t I = 0; I < 4; ++I)
     Table[I].OwnFlows_ = 100;
   EligibleSet Among = eligible(5);
@@ -163,10 +164,10 @@
   };
   CHECK(Share(at(1000)) < 0.06);
   CHECK(Share(at(3500)) < 0.25);
-  CHECK(Share(at(6000)) > 0.35); // warm: every flow that has it as candidate
+  CHECK(Share(at(6000)) > 0.35); // warm: all flows with it as a candidate
 }
 
-TEST_CASE("failures in a row eject for a while, and never more than half") {
+TEST_CASE("consecutive failures eject an upstream, but never more than half") {
   UpstreamTable Table;
   Table.declare(declare(4), at(0));
   auto Fail = [&](std::uint32_t Index) {
@@ -188,12 +189,12 @@
   Fail(1);
   CHECK(Now(1).size() == 2U);
   Fail(2);
-  CHECK(Now(1).size() == 4U); // three of four: no one is ejected
+  CHECK(Now(1).size() == 4U); // three of four: ejections are ignored
   Table.resetHealth();
   CHECK(Now(1).size() == 4U);
 }
 
-TEST_CASE("a leaving upstream is not eligible, even if it is the last") {
+TEST_CASE("a leaving upstream is not eligible, even if it is the last one") {
   UpstreamTable Table;
   Declaration D = declare(2);
   Table.declare(D, at(0));
@@ -206,7 +207,7 @@
   CHECK(Into.empty());
 }
 
-TEST_CASE("a new incarnation is cold again") {
+TEST_CASE("a new incarnation starts the slow start") {
   UpstreamTable Table;
   Table.declare(declare(1), at(0));
   Table.recordIncarnation(0, Incarnation{1}, at(100));
@@ -215,7 +216,7 @@
   CHECK(Table[0].WarmAt_ == at(200) + UpstreamTable::SlowStartDuration);
 }
 
-TEST_CASE("evacuated upstreams take nothing, also when all others are dead") {
+TEST_CASE("evacuated upstreams are not eligible, even if all others are dead") {
   UpstreamTable Table;
   Table.declare(declare(4), at(0));
   EligibleSet Among;
@@ -223,7 +224,7 @@
   Table.setEvacuated(1, true);
   Table.selectEligible(all(4), at(0), Among);
   CHECK(Among.Indexes_ == std::vector<std::uint32_t>{2, 3});
-  // Half of the two that may be used, not half of four.
+  // Half of the two that are not evacuated.
   Table.eject(2, at(5000));
   Table.selectEligible(all(4), at(1), Among);
   CHECK(Among.Indexes_ == std::vector<std::uint32_t>{3});
