--- a/test/cold-fleet.cc
+++ b/test/cold-fleet.cc
@@ -15,7 +15,7 @@
 /// Duration of the ramp; it starts with the simulation.
 constexpr double RampSeconds = 5;
 
-std::uint64_t nameOfBalancer(std::size_t Which) {
+std::uint64_t hashOfBalancer(std::size_t Which) {
   return hashPair(Which, 0x6c62);
 }
 
@@ -86,10 +86,10 @@
     B.TokenAt_.assign(S_.Cold_, 0);
     B.StartedAt_ = At;
     FleetView View;
-    View.SelfHash_ = nameOfBalancer(Which);
+    View.SelfHash_ = hashOfBalancer(Which);
     for (std::size_t Other = 0; Other < Fleet_.size(); ++Other)
       if (Other != Which && knows(Which, Other))
-        View.PeerHashes_.push_back(nameOfBalancer(Other));
+        View.PeerHashes_.push_back(hashOfBalancer(Other));
     B.Members_ = View.PeerHashes_.size() + 1;
     View.Settled_ = true;
     Views_.resize(Fleet_.size());
--- a/test/cold-fleet.h
+++ b/test/cold-fleet.h
@@ -22,10 +22,11 @@
 enum class MembershipModel : std::uint8_t {
   Complete,    ///< All know all others.
   Halved,      ///< Half have left, and all others know it.
-  Partitioned, ///< Two partitions that do not know each other.
-  Added,   ///< Half started 4 s ago: none of the others knows them, and each of
-           ///< them knows half of the fleet.
-  Partial, ///< Each knows a random 40% of the others.
+  Partitioned, ///< Two halves that do not know each other.
+  /// Half started 4 s ago: the others do not know them, and each of them knows
+  /// a random half of the fleet.
+  Added,
+  Partial,   ///< Each knows a random 40% of the others.
   Restarted, ///< A third restart one after another and lose their state.
 };
 
