--- a/include/thymewall/failure-evidence.h
+++ b/include/thymewall/silence-evidence.h
@@ -7,8 +7,8 @@
 /// about one for each of many healthy upstreams. An upstream that hangs fails
 /// request after request. So the threshold rises with the share of the service
 /// that fails too.
-#ifndef THYMEWALL_FAILURE_EVIDENCE_H
-#define THYMEWALL_FAILURE_EVIDENCE_H
+#ifndef THYMEWALL_SILENCE_EVIDENCE_H
+#define THYMEWALL_SILENCE_EVIDENCE_H
 
 #include "thymewall/core.h"
 
--- a/src/failure-evidence.cc
+++ b/src/silence-evidence.cc
@@ -1,4 +1,4 @@
-#include "thymewall/failure-evidence.h"
+#include "thymewall/silence-evidence.h"
 
 #include <algorithm>
 #include <cmath>
--- a/test/stall-fleet.cc
+++ b/test/silence-fleet.cc
@@ -1,4 +1,4 @@
-#include "stall-fleet.h"
+#include "silence-fleet.h"
 
 namespace thymewall::test {
 
