--- a/src/answer-sizes.cc
+++ b/src/answer-sizes.cc
@@ -92,7 +92,8 @@
 AnswerSizes::AnswerSizes(AnswerSizes &&) noexcept = default;
 AnswerSizes &AnswerSizes::operator=(AnswerSizes &&) noexcept = default;
 AnswerSizes::~AnswerSizes() = default;
-bool AnswerSizes::recordAndCheckShort(const Endpoint &Address, std::uint32_t Bytes) {
+bool AnswerSizes::recordAndCheckShort(const Endpoint &Address,
+                                      std::uint32_t Bytes) {
   return Impl_->recordAndCheckShort(Address, Bytes);
 }
 
