--- a/include/thymewall/packet-balancer.h
+++ b/include/thymewall/packet-balancer.h
@@ -151,7 +151,7 @@
 
 /// Options of a packet balancer.
 struct PacketBalancerOptions {
-  Chooser Chooser_ = chooseTwoInProgress;
+  Chooser Chooser_ = chooseByInProgress;
   DecisionHook OnDecision_;
   UpstreamEventHook OnUpstreamEvent_;
   PacketDelayHook OnDelay_;
--- a/src/packet-balancer-evidence.cc
+++ b/src/packet-balancer-evidence.cc
@@ -60,7 +60,7 @@
   // The jitter is the same at every balancer; their flows differ enough to
   // spread the returns.
   double Jitter = static_cast<double>(raw(Upstreams_[Index].Id_) % 1000) / 1000;
-  Upstreams_.failed(Index, Now_, Jitter);
+  Upstreams_.recordFailure(Index, Now_, Jitter);
   if (!WasEjected && Upstreams_[Index].EjectedUntil_ > Now_)
     reportEvent(UpstreamEvent::Kind::Ejected, Index);
 }
@@ -101,7 +101,7 @@
       Upstreams_[Index].Dead_)
     return;
   UpstreamState &State = UpstreamStates_[Index];
-  if (M.BornMs_ != State.BornMs_)
+  if (M.StartTimeMs_ != State.BornMs_)
     return; // about another start of the upstream
   if (M.Kind_ == UpstreamWarning::Kind::Dead)
     State.CheckRequested_ = true;
@@ -126,7 +126,7 @@
   bool AlreadyPending =
       std::any_of(Pending.begin(), Pending.end(),
                   [Flow](const PendingRequest &R) { return R.Flow_ == Flow; });
-  if (!AlreadyPending && Pending.size() < SilenceEvidence::Kept)
+  if (!AlreadyPending && Pending.size() < FailureEvidence::MaxRequests)
     Pending.push_back({Flow, Now_});
 }
 
@@ -185,7 +185,7 @@
   if (SeenLocally)
     warn(Index, UpstreamWarning::Kind::Stalled, Flow);
   std::size_t Needed = requiredEvidence(Index, SeenLocally);
-  std::size_t Unanswered = UnansweredRequests_.against(Now_, Index);
+  std::size_t Unanswered = UnansweredRequests_.count(Now_, Index);
   if (Unanswered >= Needed)
     ejectTemporarily(Index, UpstreamEvent::Kind::Stalled,
                      UpstreamStates_[Index].StallEjections_, Unanswered,
@@ -203,7 +203,7 @@
       !isEnabled(Mechanism::CorrelatedSilence))
     return 1;
   std::size_t Needed =
-      UnansweredRequests_.needed(Now_, Index, Service->second.Members_);
+      UnansweredRequests_.threshold(Now_, Index, Service->second.Members_);
   return SeenLocally ? Needed : std::max(Needed, MinPeerEvidence);
 }
 
@@ -214,7 +214,7 @@
     return;
   Services_[raw(UpstreamStates_[Row.Upstream_].Service_)].RecentAnswers_.add();
   std::uint32_t Bytes = P.Acknowledged_ - Row.Acknowledged_;
-  if (AnswerSizes_.isShort(P.Service_, Bytes))
+  if (AnswerSizes_.recordAndCheckShort(P.Service_, Bytes))
     recordShortAnswer(Row.Upstream_, Row.Flow_, true);
   else
     UpstreamStates_[Row.Upstream_].FailingEjections_ = 0;
@@ -235,14 +235,14 @@
   auto Service = Services_.find(raw(State.Service_));
   if (Service == Services_.end())
     return;
-  std::size_t ByChance = ShortAnswers_.needed(
+  std::size_t ByChance = ShortAnswers_.threshold(
       Now_, Index, Service->second.Members_, FalsePositiveShare);
   std::size_t Needed = std::max(ByChance, MinShortAnswers);
   if (State.FailingEjections_ == 0)
     Needed = std::max(
         Needed, static_cast<std::size_t>(std::ceil(
                     MinShortAnswerShare * expectedAnswers(Service->second))));
-  std::size_t Evidence = ShortAnswers_.against(Now_, Index);
+  std::size_t Evidence = ShortAnswers_.count(Now_, Index);
   if (Evidence >= Needed)
     ejectTemporarily(Index, UpstreamEvent::Kind::Failing,
                      State.FailingEjections_, Evidence, Needed);
@@ -273,7 +273,7 @@
   // Slow start: otherwise the whole fleet would resume at once, and an upstream
   // that is still stalled would lose as many requests as at first.
   if (isEnabled(Mechanism::SlowStartAfterStall))
-    Upstreams_.warmFrom(Index, Upstreams_[Index].EjectedUntil_);
+    Upstreams_.beginSlowStart(Index, Upstreams_[Index].EjectedUntil_);
   if (Options_.OnUpstreamEvent_)
     Options_.OnUpstreamEvent_({Reason, Upstreams_[Index].Incarnation_,
                                Upstreams_[Index].At_, State.Revision_, Evidence,
@@ -319,7 +319,7 @@
 /// Forgets all failures after a suspension, except that replaced upstreams stay
 /// dead.
 void PacketBalancer::Impl::clearHealthState() {
-  Upstreams_.forgetBeliefs();
+  Upstreams_.resetHealth();
   UnansweredRequests_.clearAll();
   ShortAnswers_.clearAll();
   for (std::uint32_t Index = 0; Index < UpstreamStates_.size(); ++Index) {
--- a/src/packet-balancer-flows.cc
+++ b/src/packet-balancer-flows.cc
@@ -99,7 +99,7 @@
     requestCheck(Index);
   if (!Row->Open_) {
     Row->Open_ = true;
-    Upstreams_.succeeded(Index);
+    Upstreams_.recordSuccess(Index);
     recordDelay(*Row, DelayClass::Open);
     Row->Since_ = Now_; // the first request follows immediately
   } else if (Progress) {
--- a/src/packet-balancer-impl.h
+++ b/src/packet-balancer-impl.h
@@ -64,8 +64,8 @@
                  double ColdOver, double ColdSlack) {
     Options_.MaxStalenessForReset_ = MaxStalenessForReset;
     Options_.MaxFlowAge_ = MaxFlowAge;
-    Options_.Cold_.Over_ = ColdOver;
-    Options_.Cold_.Slack_ = ColdSlack;
+    Options_.Cold_.BurstFactor_ = ColdOver;
+    Options_.Cold_.BurstAllowance_ = ColdSlack;
   }
   bool ready() const { return Routing_ && UpstreamsKnown_; }
   const PacketCounters &counters() const { return Counters_; }
@@ -107,7 +107,7 @@
   /// Upstreams of a service, with the cached subset that takes new flows.
   struct ServiceState {
     std::vector<std::uint32_t> Members_;
-    Eligible Eligible_;
+    EligibleSet Eligible_;
     /// Cold upstreams with a limit on new flows, and when the first of them
     /// becomes warm.
     std::vector<std::uint32_t> ColdMembers_;
@@ -128,7 +128,7 @@
                       std::uint32_t Index);
   std::uint32_t choose(ServiceId Service, FlowId Flow, std::uint32_t Attempt,
                        std::uint32_t Avoid);
-  const Eligible &eligible(ServiceId Service, ServiceState &State);
+  const EligibleSet &eligible(ServiceId Service, ServiceState &State);
   void separateCold(ServiceState &State, const ColdLimit &Limit);
   std::uint32_t chooseCold(const ServiceState &State, FlowId Flow,
                            const ColdLimit &Limit, std::uint32_t Avoid);
@@ -209,8 +209,8 @@
   bool UpstreamsKnown_ = false;
   bool BulkUpdate_ = false; ///< Suppresses most upstream events.
   bool Serving_ = true;
-  SilenceEvidence UnansweredRequests_;
-  SilenceEvidence ShortAnswers_;
+  FailureEvidence UnansweredRequests_;
+  FailureEvidence ShortAnswers_;
   AnswerSizes AnswerSizes_;
   std::size_t FleetSize_ = 1;
   detail::MovingAverageDelay
--- a/src/packet-balancer-upstreams.cc
+++ b/src/packet-balancer-upstreams.cc
@@ -37,7 +37,7 @@
   if (!IsNew)
     removeFromAddress(It->second);
   std::uint32_t Index =
-      Upstreams_.declareOne(static_cast<UpstreamId>(UpstreamCookie), Entry.At_,
+      Upstreams_.addOrUpdate(static_cast<UpstreamId>(UpstreamCookie), Entry.At_,
                             Entry.Slots_, Entry.WarmAt_);
   if (UpstreamStates_.size() <= Index)
     UpstreamStates_.resize(Index + 1);
@@ -47,8 +47,8 @@
                         Entry.Draining_);
   joinService(Index, Entry.Service_);
   UpstreamState &State = UpstreamStates_[Index];
-  bool Restarted = !IsNew && State.BornMs_ != Entry.BornMs_;
-  State.BornMs_ = Entry.BornMs_;
+  bool Restarted = !IsNew && State.BornMs_ != Entry.StartTimeMs_;
+  State.BornMs_ = Entry.StartTimeMs_;
   if (Restarted)
     resetState(Index);
   bool NewlyDraining = Entry.Draining_ && !State.Draining_;
@@ -56,7 +56,7 @@
   State.DataHall_ = Entry.DataHall_;
   Upstreams_.setEvacuated(Index, EvacuatedHalls_.count(State.DataHall_) != 0);
   State.ColdUntil_ = Entry.WarmAt_;
-  State.Revision_ = Change.At_;
+  State.Revision_ = Change.Revision_;
   State.Draining_ = Entry.Draining_;
   State.Lapsed_ = false;
   State.Gone_ = false;
@@ -114,7 +114,7 @@
   });
   for (FlowId Flow : OldFlows)
     endFlow(*Flows_.find(Flow));
-  Upstreams_.forgetBeliefs(Index);
+  Upstreams_.resetHealth(Index);
   UnansweredRequests_.clear(Index);
   ShortAnswers_.clear(Index);
   ColdAdmission_.forget(Upstreams_[Index].Incarnation_);
@@ -152,7 +152,7 @@
   if (Index == UpstreamTable::None || UpstreamStates_[Index].Gone_)
     return;
   UpstreamState &State = UpstreamStates_[Index];
-  State.Revision_ = Change.At_;
+  State.Revision_ = Change.Revision_;
   if (!MayReturn)
     return setGone(Index);
   State.Lapsed_ = true;
--- a/src/packet-balancer.cc
+++ b/src/packet-balancer.cc
@@ -141,7 +141,7 @@
   auto It = Services_.find(raw(Service));
   if (It == Services_.end())
     return UpstreamTable::None;
-  const Eligible &Candidates = eligible(Service, It->second);
+  const EligibleSet &Candidates = eligible(Service, It->second);
   FlowId DrawKey = Flow;
   if (Attempt > 0)
     DrawKey =
@@ -150,18 +150,18 @@
       chooseCold(It->second, DrawKey, coldLimit(Service), Avoid);
   if (Cold != UpstreamTable::None || Candidates.empty())
     return Cold;
-  Choice C{{Service, DrawKey}, Candidates, Upstreams_.rows(), Now_};
+  ChooserInput C{{Service, DrawKey}, Candidates, Upstreams_.rows(), Now_};
   std::uint32_t Index = Candidates.Indexes_[Options_.Chooser_(C)];
   if (Index != Avoid)
     return Index;
-  auto [First, Second] = candidates(C);
+  auto [First, Second] = drawCandidates(C);
   std::size_t Other = Candidates.Indexes_[First] == Avoid ? Second : First;
   return Candidates.Indexes_[Other];
 }
 
-const Eligible &PacketBalancer::Impl::eligible(ServiceId Service,
+const EligibleSet &PacketBalancer::Impl::eligible(ServiceId Service,
                                                ServiceState &State) {
-  Upstreams_.review(Now_);
+  Upstreams_.expireEjections(Now_);
   bool Current = State.Generation_ == Upstreams_.generation() &&
                  State.Routing_ == Routing_->Version_ && Now_ < State.WarmAt_;
   if (Current)
@@ -170,7 +170,7 @@
   for (std::uint32_t Index : State.Members_)
     if (Upstreams_[Index].Declared_)
       Selected.push_back(Index);
-  Upstreams_.eligibleNow(Selected, Now_, State.Eligible_);
+  Upstreams_.selectEligible(Selected, Now_, State.Eligible_);
   separateCold(State, coldLimit(Service));
   State.Generation_ = Upstreams_.generation();
   State.Routing_ = Routing_->Version_;
@@ -189,9 +189,9 @@
                                         const ColdLimit &Limit) {
   State.ColdMembers_.clear();
   State.WarmAt_ = MonoTime::max();
-  if (!Limit.given())
+  if (!Limit.isSet())
     return;
-  Eligible Warm;
+  EligibleSet Warm;
   for (std::uint32_t Index : State.Eligible_.Indexes_) {
     MonoTime ColdUntil = UpstreamStates_[Index].ColdUntil_;
     if (ColdUntil <= Now_) {
@@ -216,7 +216,7 @@
     Incarnation Which = Upstreams_[Index].Incarnation_;
     if (Index == Avoid || !ColdAdmission_.admits(Now_, Which, Limit))
       continue;
-    ColdAdmission_.opened(Now_, Which, Limit);
+    ColdAdmission_.recordOpening(Now_, Which, Limit);
     return Index;
   }
   return UpstreamTable::None;
@@ -388,8 +388,8 @@
 }
 PacketBalancerBuilder &PacketBalancerBuilder::coldOver(double Times,
                                                        double Slack) {
-  Options_.Cold_.Over_ = Times;
-  Options_.Cold_.Slack_ = Slack;
+  Options_.Cold_.BurstFactor_ = Times;
+  Options_.Cold_.BurstAllowance_ = Slack;
   return *this;
 }
 PacketBalancer PacketBalancerBuilder::build() const {
--- a/test/path-witness-test.cc
+++ b/test/path-witness-test.cc
@@ -1,5 +1,5 @@
 /// \file
-/// Checks of upstreams over a thin link that a large document fills.
+/// Checks of upstreams while a large transfer congests the host's link.
 #include "path-witness.h"
 
 #include <doctest/doctest.h>
@@ -11,38 +11,40 @@
 
 namespace {
 
-constexpr Micros TryFor = 80ms;
+constexpr Micros TryTimeout = 80ms;
 constexpr Micros RoundTrip = 2ms;
 
-/// A link on which a document arrives from `From_` on for `For_`: what is asked
-/// meanwhile is answered behind it.
+/// A link that a transfer occupies from `From_` for `For_`; answers to requests
+/// sent meanwhile arrive after it.
 struct Link {
   MonoTime From_;
   Micros For_;
 
-  MonoTime answerAt(MonoTime AskedAt) const {
+  MonoTime answerAt(MonoTime ProbedAt) const {
     MonoTime End = From_ + For_;
-    bool Behind = AskedAt + RoundTrip >= From_ && AskedAt < End;
-    return (Behind ? End : AskedAt) + RoundTrip;
+    bool Delayed = ProbedAt + RoundTrip >= From_ && ProbedAt < End;
+    return (Delayed ? End : ProbedAt) + RoundTrip;
   }
 };
 
-/// What a check that begins at \p Now concludes; a living upstream answers at
-/// once, and so do peers. Nothing when it connects.
-std::optional<CheckTries::Next> check(const Link &L, MonoTime Now, bool Lives) {
-  PathWitness Path;
-  CheckTries Tries;
+/// Returns the result of a check that begins at \p Now, or nothing if it
+/// connects. Peers answer at once, and so does the upstream if it is alive.
+std::optional<CheckAttempts::Next> check(const Link &L, MonoTime Now,
+                                         bool Alive) {
+  PeerProbes Probes;
+  CheckAttempts Attempts;
   for (;;) {
-    Path.wantsQuestion(Now);
-    MonoTime AskedAt = Path.askedAt();
-    MonoTime End = Now + TryFor;
+    Probes.shouldProbe(Now);
+    MonoTime ProbedAt = Probes.lastProbeAt();
+    MonoTime End = Now + TryTimeout;
     MonoTime Answer = L.answerAt(Now);
-    if (Lives && Answer <= End)
+    if (Alive && Answer <= End)
       return std::nullopt;
     if (Answer <= End)
-      Path.answered(AskedAt, Answer);
-    CheckTries::Next Next = Tries.silent(Path.answeredSince(AskedAt));
-    if (Next != CheckTries::Next::TryAgain)
+      Probes.recordAnswer(ProbedAt, Answer);
+    CheckAttempts::Next Next =
+        Attempts.recordTimeout(Probes.answeredSince(ProbedAt));
+    if (Next != CheckAttempts::Next::TryAgain)
       return Next;
     Now = End;
   }
@@ -50,35 +52,36 @@
 
 } // namespace
 
-TEST_CASE("an upstream that lives is never held to be dead while the own link "
-          "is full") {
+TEST_CASE("an upstream that is alive is never found dead while the link is "
+          "congested") {
   for (Micros For = 0ms; For < 900ms; For += 20ms)
     for (Micros Begins = -200ms; Begins < 1000ms; Begins += 7ms) {
       auto Result = check({MonoTime(10s), For}, MonoTime(10s + Begins), true);
-      CHECK((!Result || *Result == CheckTries::Next::Unclear));
+      CHECK((!Result || *Result == CheckAttempts::Next::Unclear));
     }
 }
 
-TEST_CASE("a dead one is found by two tries, and by more while the link is "
-          "full") {
+TEST_CASE("a dead upstream is found in two attempts, or in more while the link "
+          "is congested") {
   Link Idle{MonoTime(10s), 0ms};
-  CHECK(check(Idle, MonoTime(5s), false) == CheckTries::Next::Dead);
-  Link Full{MonoTime(10s), 150ms};
-  CHECK(check(Full, MonoTime(10s), false) == CheckTries::Next::Dead);
-  Link FullForLong{MonoTime(10s), 2s};
-  CHECK(check(FullForLong, MonoTime(10s), false) == CheckTries::Next::Unclear);
+  CHECK(check(Idle, MonoTime(5s), false) == CheckAttempts::Next::Dead);
+  Link Congested{MonoTime(10s), 150ms};
+  CHECK(check(Congested, MonoTime(10s), false) == CheckAttempts::Next::Dead);
+  Link CongestedForLong{MonoTime(10s), 2s};
+  CHECK(check(CongestedForLong, MonoTime(10s), false) ==
+        CheckAttempts::Next::Unclear);
 }
 
-TEST_CASE("tries that begin together share a question") {
-  PathWitness Path;
-  CHECK(Path.wantsQuestion(MonoTime(1s)));
-  CHECK_FALSE(Path.wantsQuestion(MonoTime(1005ms)));
-  CHECK(Path.askedAt() == MonoTime(1s));
-  CHECK_FALSE(Path.answeredSince(Path.askedAt()));
-  Path.answered(MonoTime(1s), MonoTime(1003ms));
-  CHECK(Path.answeredSince(Path.askedAt()));
-  CHECK(Path.wantsQuestion(MonoTime(1010ms)));
-  CHECK_FALSE(Path.answeredSince(Path.askedAt()));
-  Path.answered(MonoTime(1010ms), MonoTime(1051ms)); // too late to count
-  CHECK_FALSE(Path.answeredSince(Path.askedAt()));
+TEST_CASE("attempts that begin together share a probe") {
+  PeerProbes Probes;
+  CHECK(Probes.shouldProbe(MonoTime(1s)));
+  CHECK_FALSE(Probes.shouldProbe(MonoTime(1005ms)));
+  CHECK(Probes.lastProbeAt() == MonoTime(1s));
+  CHECK_FALSE(Probes.answeredSince(Probes.lastProbeAt()));
+  Probes.recordAnswer(MonoTime(1s), MonoTime(1003ms));
+  CHECK(Probes.answeredSince(Probes.lastProbeAt()));
+  CHECK(Probes.shouldProbe(MonoTime(1010ms)));
+  CHECK_FALSE(Probes.answeredSince(Probes.lastProbeAt()));
+  Probes.recordAnswer(MonoTime(1010ms), MonoTime(1051ms)); // too late to count
+  CHECK_FALSE(Probes.answeredSince(Probes.lastProbeAt()));
 }
--- a/test/upstream-address-test.cc
+++ b/test/upstream-address-test.cc
@@ -25,7 +25,7 @@
     for (std::uint16_t Other = 2; B_.request(Other) == FirstId_;)
       ++Other;
     SuccessorChange_ = up(7);
-    SuccessorChange_.At_ = 5;
+    SuccessorChange_.Revision_ = 5;
     SuccessorChange_.Entry_->At_ = up(FirstId_).Entry_->At_;
     SuccessorChange_.Entry_->Service_ = ServiceId{2};
   }
@@ -37,7 +37,7 @@
     return !B_.takesFlows(Upstream, Time);
   }
 
-  Balancer3 B_;
+  RecordingBalancer B_;
   std::uint64_t FirstId_ = 0;
   UpstreamChange SuccessorChange_;
 };
@@ -46,7 +46,7 @@
 
 TEST_CASE("a removed upstream is dead once another one has its address") {
   SharedAddress S;
-  Balancer3 &B = S.B_;
+  RecordingBalancer &B = S.B_;
   SUBCASE("its flows are reset and it is never checked or chosen again") {
     B.B_.applyUpstreams(at(100ms), {S.SuccessorChange_, S.firstRemoved()});
     REQUIRE_FALSE(B.Resets_.empty());
@@ -65,7 +65,7 @@
     CHECK(S.getsNoFlows(S.FirstId_, 9s));
   }
   SUBCASE("in any order of the changes") {
-    Balancer3 C;
+    RecordingBalancer C;
     C.B_.setRouting(at(0ms), twoServiceTable(2));
     C.B_.applyUpstreams(at(0ms), {S.SuccessorChange_});
     C.B_.applyUpstreams(at(10ms), {up(S.FirstId_)});
@@ -74,7 +74,7 @@
   }
   SUBCASE("a change of its own entry does not replace it") {
     UpstreamChange Same = up(S.FirstId_);
-    Same.At_ = 6;
+    Same.Revision_ = 6;
     B.B_.applyUpstreams(at(100ms), {Same});
     CHECK(B.Resets_.empty());
   }
@@ -84,14 +84,14 @@
   // The first upstream crashes behind a network partition and another one takes
   // its address. Its delayed entry arrives when the partition heals.
   SharedAddress S;
-  Balancer3 &B = S.B_;
+  RecordingBalancer &B = S.B_;
   S.SuccessorChange_.Entry_->Service_ = ServiceId{1};
   B.B_.applyUpstreams(at(100ms), {S.firstRemoved()});
   B.B_.applyUpstreams(at(200ms), {S.SuccessorChange_});
   B.follow(300ms, 500, 7, 1000, 1, 100); // a flow at its successor
   std::size_t Before = B.Resets_.size();
   UpstreamChange Late = up(S.FirstId_);
-  Late.At_ = 724;
+  Late.Revision_ = 724;
   SUBCASE("at a balancer that knows both upstreams") {
     B.B_.applyUpstreams(at(400ms), {Late});
     CHECK(B.Resets_.size() == Before);
@@ -99,7 +99,7 @@
     CHECK_FALSE(B.takesFlows(S.FirstId_, 500ms));
   }
   SUBCASE("at a balancer that has just started") {
-    Balancer3 C;
+    RecordingBalancer C;
     C.B_.setRouting(at(0ms), twoServiceTable(2));
     C.B_.applyUpstreams(at(0ms), {S.SuccessorChange_});
     C.follow(100ms, 500, 7, 1000, 1, 100);
@@ -113,11 +113,11 @@
 
 TEST_CASE("with start times, the upstream that started later has the address") {
   SharedAddress S;
-  Balancer3 &B = S.B_;
+  RecordingBalancer &B = S.B_;
   UpstreamChange First = up(S.FirstId_);
-  First.At_ = 4;
-  First.Entry_->BornMs_ = 1000;
-  S.SuccessorChange_.Entry_->BornMs_ = 2000;
+  First.Revision_ = 4;
+  First.Entry_->StartTimeMs_ = 1000;
+  S.SuccessorChange_.Entry_->StartTimeMs_ = 2000;
   B.B_.applyUpstreams(at(50ms), {First});
   B.request(400);
   while (B.request(400) != S.FirstId_)
@@ -131,7 +131,7 @@
     B.B_.applyUpstreams(at(100ms), {S.SuccessorChange_});
     B.follow(150ms, 500, 7, 1000, 1, 100);
     std::size_t Before = B.Resets_.size();
-    First.At_ = 724;
+    First.Revision_ = 724;
     B.B_.applyUpstreams(at(200ms), {First});
     CHECK(B.Resets_.size() == Before);
     CHECK(S.getsNoFlows(S.FirstId_, 300ms));
@@ -140,7 +140,7 @@
 
 TEST_CASE("an upstream of an unnamed service does not take over an address") {
   SharedAddress S;
-  Balancer3 &B = S.B_;
+  RecordingBalancer &B = S.B_;
   S.SuccessorChange_.Entry_->Service_ = ServiceId{99};
   B.B_.applyUpstreams(at(100ms), {S.SuccessorChange_, S.firstRemoved()});
   CHECK(B.Resets_.empty());
--- a/test/upstream-restart-test.cc
+++ b/test/upstream-restart-test.cc
@@ -10,8 +10,8 @@
 UpstreamChange startedUpstream(std::uint64_t Id, std::uint64_t BornMs,
                                Revision At) {
   UpstreamChange Change = up(Id);
-  Change.At_ = At;
-  Change.Entry_->BornMs_ = BornMs;
+  Change.Revision_ = At;
+  Change.Entry_->StartTimeMs_ = BornMs;
   return Change;
 }
 
@@ -28,7 +28,7 @@
     B_.B_.applyUpstreams(at(Time), {startedUpstream(RestartedId_, 200, 10)});
   }
 
-  Balancer3 B_;
+  RecordingBalancer B_;
   std::uint64_t RestartedId_ = 0;
 };
 
@@ -36,7 +36,7 @@
 
 TEST_CASE("a restart under the same incarnation clears all failures") {
   RestartedUpstream R;
-  Balancer3 &B = R.B_;
+  RecordingBalancer &B = R.B_;
   SUBCASE("a failed liveness check") {
     B.checked(300ms, R.RestartedId_, CheckResult::Dead, 200ms);
     REQUIRE_FALSE(B.takesFlows(R.RestartedId_, 350ms));
@@ -66,7 +66,7 @@
 
 TEST_CASE("evidence from before a restart is ignored") {
   RestartedUpstream R;
-  Balancer3 &B = R.B_;
+  RecordingBalancer &B = R.B_;
   R.restart(400ms);
   SUBCASE("a liveness check") {
     B.checked(500ms, R.RestartedId_, CheckResult::Dead, 350ms);
@@ -93,7 +93,7 @@
 
 TEST_CASE("flows are forwarded to the restarted upstream and not reset") {
   RestartedUpstream R;
-  Balancer3 &B = R.B_;
+  RecordingBalancer &B = R.B_;
   R.restart(400ms);
   CHECK(B.Resets_.empty());
   Packet P = packet(1);
@@ -109,7 +109,7 @@
 
 TEST_CASE("requests sent before the restart do not count as load") {
   RestartedUpstream R;
-  Balancer3 &B = R.B_;
+  RecordingBalancer &B = R.B_;
   for (std::uint16_t Port = 1000; Port < 1100; ++Port)
     B.open(100ms, Port);
   R.restart(400ms);
