--- a/include/thymewall/intent-reader.h
+++ b/include/thymewall/intent-reader.h
@@ -13,7 +13,7 @@
 namespace thymewall {
 
 /// One call of the configuration service.
-struct IntentCall {
+struct ConfigRequest {
   enum class Kind : std::uint8_t {
     /// What was published some seconds ago at most, at a tenth of the cost of
     /// a list: everything, or some parts of a long list.
@@ -30,7 +30,7 @@
 };
 
 /// What came of a call.
-struct IntentAnswer {
+struct ConfigResponse {
   enum class Outcome : std::uint8_t {
     Done,
     Stale,       ///< A stale list: it shows nothing to be absent or current.
@@ -49,76 +49,77 @@
 };
 
 /// Decides when this process reads the configuration service.
-class IntentReader {
+class ConfigReader {
 public:
   /// How long a watch waits: bounds what a connection that has died silently
   /// can hide, and tells the fleet twice a second that its knowledge is recent.
-  static constexpr Micros WatchFor = std::chrono::milliseconds(500);
+  static constexpr Micros WatchTimeout = std::chrono::milliseconds(500);
   /// Pause after news, so that one call takes several changes in.
-  static constexpr Micros PauseAfterNews = std::chrono::milliseconds(300);
+  static constexpr Micros PauseAfterChange = std::chrono::milliseconds(300);
   /// Time beyond its wait within which an answer must come: the service
   /// answers in milliseconds, and in 0.3 s when it is slow.
-  static constexpr Micros AnswerWithin = std::chrono::milliseconds(1000);
+  static constexpr Micros ResponseTimeout = std::chrono::milliseconds(1000);
   /// A start that has a stale list leaves peers this long, and up to
-  /// `PeersTellSpread` more, to tell it what is current before it reads that
+  /// `PeerUpdateJitter` more, to tell it what is current before it reads that
   /// itself. Links open and a list comes in some ten milliseconds; of a fleet
   /// that starts together the first to read tell the others within half a
   /// second. The stale list serves callers meanwhile.
-  static constexpr Micros PeersTellWithin = std::chrono::milliseconds(100);
-  static constexpr Micros PeersTellSpread = std::chrono::milliseconds(900);
+  static constexpr Micros PeerUpdateWait = std::chrono::milliseconds(100);
+  static constexpr Micros PeerUpdateJitter = std::chrono::milliseconds(900);
   /// Both are shorter where few upstreams are listed: some hosts that read a
   /// short list each cost less than what its age costs callers.
-  static constexpr Micros PeersTellPerUpstream =
+  static constexpr Micros PeerUpdateWaitPerUpstream =
       std::chrono::microseconds(1000);
-  static constexpr Micros SpreadPerUpstream = std::chrono::microseconds(1500);
+  static constexpr Micros PeerUpdateJitterPerUpstream =
+      std::chrono::microseconds(1500);
   /// A balancer that has parts of a long list leaves peers this long, and up to
-  /// `LongestTurn` more, to tell the rest: a whole list takes about a second to
-  /// read, and hundreds that read it at once take the service's whole link.
-  static constexpr Micros PartsTellWithin = std::chrono::milliseconds(2500);
+  /// `MaxFleetJitter` more, to tell the rest: a whole list takes about a second
+  /// to read, and hundreds that read it at once take the service's whole link.
+  static constexpr Micros PartsExchangeWait = std::chrono::milliseconds(2500);
   /// The same for a seed, which all others find first: of a fleet that starts
   /// at once only these read the whole list.
-  static constexpr Micros SeedReadsAfter = std::chrono::milliseconds(300);
+  static constexpr Micros SeedListDelay = std::chrono::milliseconds(300);
   /// So many failed calls for a stale list in a row mean that there are none.
   /// Fewer are an outage, after which a whole fleet must not ask for lists.
-  static constexpr std::size_t StaleTries = 8;
+  static constexpr std::size_t MaxStaleListAttempts = 8;
   /// Pauses after failures double between these.
-  static constexpr Micros FirstPause = std::chrono::milliseconds(150);
-  static constexpr Micros LongestPause = std::chrono::milliseconds(1200);
+  static constexpr Micros InitialBackoff = std::chrono::milliseconds(150);
+  static constexpr Micros MaxBackoff = std::chrono::milliseconds(1200);
   /// When many fail together the longest pause grows with their number, so that
   /// a whole fleet makes about this many calls a second.
-  static constexpr std::size_t FailedCallsPerSecond = 8;
+  static constexpr std::size_t FleetRetriesPerSecond = 8;
   /// In a fleet that shares failures so, those that know something spread their
   /// next calls over as long, at most this: the first to be served tells all.
   /// The bound is for a few that reach no other.
-  static constexpr Micros LongestTurn = std::chrono::seconds(10);
+  static constexpr Micros MaxFleetJitter = std::chrono::seconds(10);
 
   /// \p Spread in [0, 1) keeps processes that start together apart.
   /// \p IsSeed: others find their peers through this one.
-  explicit IntentReader(double Spread, bool IsSeed = false)
+  explicit ConfigReader(double Spread, bool IsSeed = false)
       : Spread_(Spread), IsSeed_(IsSeed) {}
 
   /// The call that is due at \p Now, if any; at most one is under way. None
   /// starts before \p ReadFrom: others keep this process informed until then.
-  std::optional<IntentCall> next(MonoTime Now, MonoTime ReadFrom);
+  std::optional<ConfigRequest> next(MonoTime Now, MonoTime ReadFrom);
   /// When `next` should be asked again; the far future while a call is under
   /// way.
   MonoTime dueAt(MonoTime ReadFrom) const;
   /// Takes the answer of the call under way in; \p Fleet processes share the
   /// reading.
-  void answered(MonoTime Now, const IntentAnswer &Answer, std::size_t Fleet);
+  void answered(MonoTime Now, const ConfigResponse &Answer, std::size_t Fleet);
   /// Everything through \p Through is known, whoever told it.
-  void known(Revision Through);
+  void noteRevision(Revision Through);
   /// Nobody can tell the rest: a call that only left time for peers is due.
-  void noPeers(MonoTime Now);
+  void noPeersFound(MonoTime Now);
   /// The next call must read everything.
-  void listAgain() { ListWanted_ = true; }
+  void requestList() { ListWanted_ = true; }
   /// All changes up to this time are in the last answer.
   MonoTime completeAt() const { return CompleteAt_; }
 
 private:
-  IntentCall::Kind nextKind() const;
-  Micros pauseForPeers(const IntentAnswer &Stale) const;
-  Micros pauseAfter(MonoTime Now, const IntentAnswer &Answer,
+  ConfigRequest::Kind nextKind() const;
+  Micros pauseForPeers(const ConfigResponse &Stale) const;
+  Micros pauseAfter(MonoTime Now, const ConfigResponse &Answer,
                     std::size_t Fleet);
 
   double Spread_;
@@ -128,7 +129,7 @@
   MonoTime SentAt_{};
   MonoTime WaitUntil_{};
   MonoTime CompleteAt_{};
-  Micros FailurePause_ = FirstPause;
+  Micros FailurePause_ = InitialBackoff;
   bool ListWanted_ = true;
   bool StaleWanted_ = true; ///< First: nothing is known.
   std::size_t StaleTried_ = 0;
--- a/include/thymewall/list-parts.h
+++ b/include/thymewall/list-parts.h
@@ -21,15 +21,15 @@
 
 /// Which parts of a list a balancer that starts should read: enough of them to
 /// open flows by, or the whole list where that is short.
-class PartsReading {
+class PartReadPlan {
 public:
   /// A list whose parts have fewer upstreams is short: less than some 1,000.
-  static constexpr std::size_t LeastInPart = 4;
+  static constexpr std::size_t MinUpstreamsPerPart = 4;
   /// Upstreams enough to spread the flows of one balancer.
-  static constexpr std::size_t LeastAtStart = 64;
+  static constexpr std::size_t MinUpstreamsAtStart = 64;
 
   /// \p First keeps balancers that start together at different parts.
-  explicit PartsReading(std::uint8_t First) : Next_(First) {}
+  explicit PartReadPlan(std::uint8_t First) : Next_(First) {}
 
   std::uint8_t next() const { return Next_; }
   /// The part `next()` was read and has so many upstreams.
--- a/src/list-parts.cc
+++ b/src/list-parts.cc
@@ -10,16 +10,16 @@
 
 } // namespace
 
-void PartsReading::read(std::size_t Upstreams) {
+void PartReadPlan::read(std::size_t Upstreams) {
   Parts_.set(Next_);
   Next_ = static_cast<std::uint8_t>(Next_ + Step);
   Upstreams_ += Upstreams;
 }
 
-bool PartsReading::listIsShort() const {
-  return Upstreams_ < LeastInPart * Parts_.count();
+bool PartReadPlan::listIsShort() const {
+  return Upstreams_ < MinUpstreamsPerPart * Parts_.count();
 }
 
-bool PartsReading::enough() const { return Upstreams_ >= LeastAtStart; }
+bool PartReadPlan::enough() const { return Upstreams_ >= MinUpstreamsAtStart; }
 
 } // namespace thymewall
--- a/src/member-list.cc
+++ b/src/member-list.cc
@@ -22,7 +22,7 @@
   if (Known.AliveAt_ >= AliveAt)
     return;
   Known.Member_ = Told;
-  Known.Score_ = readScore(Told.Name_);
+  Known.Score_ = readerScore(Told.Name_);
   Known.AliveAt_ = AliveAt;
 }
 
@@ -54,7 +54,7 @@
   return Count;
 }
 
-bool MemberList::hallIsLost(MonoTime Now, const std::string &Hall) const {
+bool MemberList::isDataHallLost(MonoTime Now, const std::string &Hall) const {
   if (Known_.size() > HeardOf || !has(Mechanism::LostHall))
     return false;
   std::map<std::string, HallCount> Halls;
--- a/src/member-list.h
+++ b/src/member-list.h
@@ -40,7 +40,7 @@
 
   /// Fewer than half of the members of \p Hall live, \p Self, which is one of
   /// them, among the living; and another data hall is well.
-  bool hallIsLost(MonoTime Now, const std::string &Hall) const;
+  bool isDataHallLost(MonoTime Now, const std::string &Hall) const;
 
   std::size_t size() const { return Known_.size(); }
   std::size_t countIf(const std::function<bool(const Member &)> &Wanted) const;
--- a/src/news-impl.h
+++ b/src/news-impl.h
@@ -1,5 +1,5 @@
 /// \file
-/// Inside of `NewsExchange`: what is known and who reads (news.cc), links and
+/// Inside of `GossipNode`: what is known and who reads (news.cc), links and
 /// heartbeats (news-links.cc), and starts by parts of the list (news-parts.cc).
 #ifndef THYMEWALL_SRC_NEWS_IMPL_H
 #define THYMEWALL_SRC_NEWS_IMPL_H
@@ -34,13 +34,13 @@
 };
 
 /// One connection to a peer.
-struct NewsLink {
+struct GossipLink {
   struct Sent {
     std::uint64_t Sequence_;
     MonoTime At_;
   };
 
-  bool OpenedHere_ = false;
+  bool Outbound_ = false;
   bool SentOn_ = false; ///< One too many: the peer is to link to others.
   std::string Peer_;    ///< Name, once a heartbeat came.
   MonoTime SilentAt_{};
@@ -86,44 +86,44 @@
 
 } // namespace detail
 
-class NewsExchange::Impl {
+class GossipNode::Impl {
 public:
-  Impl(NewsOptions Options, NewsHooks Hooks)
+  Impl(GossipOptions Options, GossipHooks Hooks)
       : Options_(std::move(Options)), Hooks_(std::move(Hooks)),
         Members_(Options_.Self_.Name_),
-        Score_(detail::readScore(Options_.Self_.Name_)) {}
+        Score_(detail::readerScore(Options_.Self_.Name_)) {}
 
-  void opened(MonoTime Now, LinkId Which, bool OpenedHere);
+  void opened(MonoTime Now, LinkId Which, bool Outbound);
   void closed(MonoTime Now, LinkId Which);
   void connectFailed(MonoTime Now, const Endpoint &Control);
-  void received(MonoTime Now, LinkId Which, const NewsMessage &M);
-  bool readDone(MonoTime Now, const IntentAnswer &Answer, MonoTime AsOf);
-  void readStale(MonoTime Now, const IntentAnswer &Answer);
+  void received(MonoTime Now, LinkId Which, const GossipMessage &M);
+  bool readSucceeded(MonoTime Now, const ConfigResponse &Answer, MonoTime AsOf);
+  void staleListRead(MonoTime Now, const ConfigResponse &Answer);
   void readFailed() { Reading_ = false; }
-  void readingList(MonoTime Now);
+  void listReadStarted(MonoTime Now);
   void warn(MonoTime Now, const UpstreamWarning &M) { tell(Now, M, nullptr); }
   void setLeaving(MonoTime Now);
   void setSeeds(std::vector<Endpoint> Seeds) {
     Options_.Seeds_ = std::move(Seeds);
   }
   void tick(MonoTime Now);
-  MonoTime readFrom() const;
+  MonoTime nextReadAt() const;
   Revision through() const { return List_.through(); }
-  MonoTime knownAsOf() const { return KnownAsOf_; }
+  MonoTime confirmedAsOf() const { return KnownAsOf_; }
   std::size_t fleetSize() const {
     return Links_.empty() ? 1 : Members_.fleetSize();
   }
   FleetView fleetView(MonoTime Now) const;
-  bool hallIsLost(MonoTime Now) const {
-    return Members_.hallIsLost(Now, Options_.Self_.DataHall_);
+  bool isDataHallLost(MonoTime Now) const {
+    return Members_.isDataHallLost(Now, Options_.Self_.DataHall_);
   }
-  NewsCounters counters() const;
-  std::vector<PeerStatus> peers() const;
+  GossipCounters counters() const;
+  std::vector<MemberStatus> peers() const;
 
 private:
   void take(MonoTime Now, LinkId Which, const PeerHeartbeat &M);
-  void take(MonoTime Now, LinkId Which, const NewsWanted &M);
-  void take(MonoTime Now, LinkId Which, const News &M);
+  void take(MonoTime Now, LinkId Which, const StateRequest &M);
+  void take(MonoTime Now, LinkId Which, const StateUpdate &M);
   void take(MonoTime Now, LinkId Which, const UpstreamWarning &M);
   bool tell(MonoTime Now, const UpstreamWarning &M, const LinkId *From);
   void noteArrival(MonoTime Now, const PeerHeartbeat &M);
@@ -131,11 +131,11 @@
              const UpstreamBatch &Upstreams,
              const EvacuationBatch &Evacuations);
   void applyEvacuations(const EvacuationBatch &Batch);
-  void takeClaim(MonoTime Now, const detail::NewsLink &L,
+  void takeClaim(MonoTime Now, const detail::GossipLink &L,
                  const PeerHeartbeat &M);
   void noteReader(std::uint64_t Score, MonoTime At, MonoTime Now);
   void noteLiving(MonoTime Now, std::uint64_t Score, MonoTime At);
-  void takeLiving(MonoTime Now, const detail::NewsLink &L,
+  void takeLiving(MonoTime Now, const detail::GossipLink &L,
                   const PeerHeartbeat &M);
   Micros cutOffSpread() const;
   MonoTime turnToRead(MonoTime ToldAt) const;
@@ -147,17 +147,17 @@
   ListParts partsHere() const {
     return List_.through() == 0 ? Parts_ : allParts();
   }
-  bool startsByParts(const detail::NewsLink &L) const {
-    bool Long = Parts_.any() || L.peerList() > UpstreamsPerQuestion;
+  bool startsByParts(const detail::GossipLink &L) const {
+    bool Long = Parts_.any() || L.peerList() > UpstreamsPerRequest;
     return List_.through() == 0 && !Parts_.all() && Long;
   }
   void askForParts(MonoTime Now, LinkId Which);
-  void takeParts(MonoTime Now, LinkId Which, const News &M);
+  void takeParts(MonoTime Now, LinkId Which, const StateUpdate &M);
   bool bringsParts(const ListParts &Parts) const;
   void addParts(MonoTime Now, const ListParts &Parts);
   std::optional<PartDigests> digestsToSend() const;
   PeerHeartbeat heartbeat(MonoTime Now, std::size_t Members);
-  void beat(MonoTime Now, LinkId Which, detail::NewsLink &L,
+  void beat(MonoTime Now, LinkId Which, detail::GossipLink &L,
             std::size_t Members);
   void beatAll(MonoTime Now);
   void keepLinks(MonoTime Now);
@@ -169,13 +169,13 @@
   void connect(const Endpoint &Control);
   bool linkedTo(const std::string &Name) const;
   std::uint32_t knownAgeMs(MonoTime Now) const {
-    return KnownAsOf_ == MonoTime{} ? PeerHeartbeat::NeverKnown
+    return KnownAsOf_ == MonoTime{} ? PeerHeartbeat::UnknownAgeMs
                                     : detail::ageMs(KnownAsOf_, Now);
   }
 
-  NewsOptions Options_;
-  NewsHooks Hooks_;
-  NewsCounters Counters_;
+  GossipOptions Options_;
+  GossipHooks Hooks_;
+  GossipCounters Counters_;
   RoutingTablePtr Routing_;
   UpstreamList List_;
   ListParts Parts_;           ///< That `List_` has while it isn't complete.
@@ -183,7 +183,7 @@
   std::size_t SeedAttempts_ = 0;
   std::uint64_t Draws_ = 0; ///< Of balancers that look for other parts.
   EvacuationList Evacuations_;
-  std::map<LinkId, detail::NewsLink> Links_;
+  std::map<LinkId, detail::GossipLink> Links_;
   detail::MemberList Members_;
   std::set<Endpoint> Connecting_;
   std::map<UpstreamWarning, MonoTime> Told_; ///< Until when not told again.
--- a/src/news-links.cc
+++ b/src/news-links.cc
@@ -4,7 +4,7 @@
 
 namespace thymewall {
 
-using detail::NewsLink;
+using detail::GossipLink;
 
 namespace {
 
@@ -23,16 +23,16 @@
 
 } // namespace
 
-void NewsExchange::Impl::opened(MonoTime Now, LinkId Which, bool OpenedHere) {
-  bool SentOn = !OpenedHere && acceptsNoMore();
-  NewsLink &L = Links_[Which];
-  L.OpenedHere_ = OpenedHere;
+void GossipNode::Impl::opened(MonoTime Now, LinkId Which, bool Outbound) {
+  bool SentOn = !Outbound && acceptsNoMore();
+  GossipLink &L = Links_[Which];
+  L.Outbound_ = Outbound;
   L.SentOn_ = SentOn;
-  L.SilentAt_ = Now + SilentAfter;
+  L.SilentAt_ = Now + LinkTimeout;
   beat(Now, Which, L, MembersAtOpening);
 }
 
-void NewsExchange::Impl::closed(MonoTime Now, LinkId Which) {
+void GossipNode::Impl::closed(MonoTime Now, LinkId Which) {
   auto Known = Links_.find(Which);
   if (Known == Links_.end())
     return;
@@ -41,48 +41,48 @@
     AskAgainAt_ = Now; // no answer will come
   Links_.erase(Known);
   if (!linkedTo(Peer))
-    Members_.avoid(Peer, Now + AvoidFor);
+    Members_.avoid(Peer, Now + ReconnectDelay);
   if (Links_.empty() && !Leaving_)
     linkToWanted(Now); // a seed may have sent this balancer on
 }
 
-void NewsExchange::Impl::connectFailed(MonoTime Now, const Endpoint &Control) {
+void GossipNode::Impl::connectFailed(MonoTime Now, const Endpoint &Control) {
   Connecting_.erase(Control);
-  Members_.avoid(Control, Now + AvoidFor);
+  Members_.avoid(Control, Now + ReconnectDelay);
 }
 
-void NewsExchange::Impl::setLeaving(MonoTime Now) {
+void GossipNode::Impl::setLeaving(MonoTime Now) {
   Leaving_ = true;
   beatAll(Now);
 }
 
-void NewsExchange::Impl::closeSpare(LinkId Which, const std::string &Peer) {
+void GossipNode::Impl::closeSpare(LinkId Which, const std::string &Peer) {
   // Of two links between two balancers, the one that the later name opened
   // goes.
   auto Count =
       std::count_if(Links_.begin(), Links_.end(), [&](const auto &Item) {
         return Item.second.Peer_ == Peer;
       });
-  if (Count < 2 || !Links_[Which].OpenedHere_ || Options_.Self_.Name_ < Peer)
+  if (Count < 2 || !Links_[Which].Outbound_ || Options_.Self_.Name_ < Peer)
     return;
   Hooks_.Close_(Which);
 }
 
-PeerHeartbeat NewsExchange::Impl::heartbeat(MonoTime Now, std::size_t Count) {
+PeerHeartbeat GossipNode::Impl::heartbeat(MonoTime Now, std::size_t Count) {
   PeerHeartbeat M;
   M.Sender_ = Options_.Self_;
   M.Leaving_ = Leaving_;
   M.Routing_ = Routing_ ? Routing_->Version_ : 0;
   M.Through_ = List_.through();
-  M.KnownAgeMs_ = knownAgeMs(Now);
-  M.Reader_ = Reader_.Score_;
-  if (Now - Reader_.At_ < ReadAfter)
+  M.StateAgeMs_ = knownAgeMs(Now);
+  M.ReaderScore_ = Reader_.Score_;
+  if (Now - Reader_.At_ < TakeoverAge)
     M.ReaderAgeMs_ = detail::ageMs(Reader_.At_, Now);
-  M.Living_ = Living_.Score_;
-  if (Now - Living_.At_ < SilentAfter)
-    M.LivingAgeMs_ = detail::ageMs(Living_.At_, Now);
-  M.PresentMs_ = detail::ageMs(PresentSince_, Now);
-  M.Listed_ = static_cast<std::uint32_t>(List_.size());
+  M.FirstAliveScore_ = Living_.Score_;
+  if (Now - Living_.At_ < LinkTimeout)
+    M.FirstAliveAgeMs_ = detail::ageMs(Living_.At_, Now);
+  M.UptimeMs_ = detail::ageMs(PresentSince_, Now);
+  M.UpstreamCount_ = static_cast<std::uint32_t>(List_.size());
   if (List_.through() == 0)
     M.Parts_ = Parts_;
   M.Members_ = Members_.inTurn(Now, Count);
@@ -92,11 +92,11 @@
   return M;
 }
 
-void NewsExchange::Impl::beat(MonoTime Now, LinkId Which, NewsLink &L,
-                              std::size_t Members) {
+void GossipNode::Impl::beat(MonoTime Now, LinkId Which, GossipLink &L,
+                            std::size_t Members) {
   PeerHeartbeat M = heartbeat(Now, Members);
   M.Sequence_ = ++L.Sequence_;
-  M.Echo_ = L.LastHeard_;
+  M.EchoedSequence_ = L.LastHeard_;
   L.Sent_.push_back({M.Sequence_, Now});
   if (L.Sent_.size() > SentTimesKept)
     L.Sent_.pop_front();
@@ -104,23 +104,23 @@
   Hooks_.Send_(Which, M);
 }
 
-void NewsExchange::Impl::beatAll(MonoTime Now) {
+void GossipNode::Impl::beatAll(MonoTime Now) {
   ToldAsOf_ = KnownAsOf_;
   ToldParts_ = Parts_.count();
   ToldReader_ = Reader_.Score_;
   ToldLivingAt_ = Living_.At_;
-  NextBeat_ = Now + HeartbeatEvery;
+  NextBeat_ = Now + HeartbeatInterval;
   // Members once in the time of a heartbeat, however often more recent
   // knowledge is told: they are most of a heartbeat's bytes.
   bool TellMembers = Now >= TellMembersAt_;
   if (TellMembers)
-    TellMembersAt_ = Now + HeartbeatEvery;
+    TellMembersAt_ = Now + HeartbeatInterval;
   for (auto &[Which, L] : Links_)
     beat(Now, Which, L, TellMembers ? MembersPerHeartbeat : 0);
 }
 
-void NewsExchange::Impl::tick(MonoTime Now) {
-  if (Now - LastTick_ > SleptFor)
+void GossipNode::Impl::tick(MonoTime Now) {
+  if (Now - LastTick_ > SuspendThreshold)
     PresentSince_ = Now;
   LastTick_ = Now;
   std::vector<LinkId> Silent;
@@ -141,13 +141,13 @@
   keepLinks(Now);
 }
 
-bool NewsExchange::Impl::linkedTo(const std::string &Name) const {
+bool GossipNode::Impl::linkedTo(const std::string &Name) const {
   return std::any_of(Links_.begin(), Links_.end(), [&](const auto &Item) {
     return Item.second.Peer_ == Name;
   });
 }
 
-void NewsExchange::Impl::keepLinks(MonoTime Now) {
+void GossipNode::Impl::keepLinks(MonoTime Now) {
   if (Leaving_)
     return;
   if (Links_.empty())
@@ -157,10 +157,10 @@
   closeUnwanted(linkToWanted(Now));
 }
 
-std::vector<Member> NewsExchange::Impl::linkToWanted(MonoTime Now) {
-  std::vector<Member> Wanted =
-      detail::choosePeers(Members_.reachable(Now), Options_.Self_, OpenedLinks,
-                          Members_.hearsOfAll() ? FarLinks : FarLinksOfMany);
+std::vector<Member> GossipNode::Impl::linkToWanted(MonoTime Now) {
+  std::vector<Member> Wanted = detail::choosePeers(
+      Members_.reachable(Now), Options_.Self_, OutboundLinks,
+      Members_.hearsOfAll() ? FarLinks : FarLinksOfMany);
   for (const Member &M : Wanted)
     if (!linkedTo(M.Name_))
       connect(M.Control_);
@@ -169,7 +169,7 @@
 
 /// First one of the seeds, so that each meets a part of a fleet that starts,
 /// then all. Seeds meet each other at once, which joins the parts.
-void NewsExchange::Impl::connectSeeds() {
+void GossipNode::Impl::connectSeeds() {
   const std::vector<Endpoint> &Seeds = Options_.Seeds_;
   bool IsSeed = std::find(Seeds.begin(), Seeds.end(),
                           Options_.Self_.Control_) != Seeds.end();
@@ -181,7 +181,7 @@
 
 /// Seeds that are no members are where another part of the fleet may be: at
 /// each tick about one balancer of those that know each other tries.
-void NewsExchange::Impl::lookForOthers() {
+void GossipNode::Impl::lookForOthers() {
   std::uint64_t Draw = hashPair(Score_, ++Draws_);
   if (Draw % (Members_.size() + 1) != 0)
     return;
@@ -191,44 +191,44 @@
       connectSeed(Seed);
 }
 
-void NewsExchange::Impl::connectSeed(const Endpoint &Seed) {
+void GossipNode::Impl::connectSeed(const Endpoint &Seed) {
   if (Seed != Options_.Self_.Control_)
     connect(Seed);
 }
 
 /// Whether enough links are accepted without a further one.
-bool NewsExchange::Impl::acceptsNoMore() const {
+bool GossipNode::Impl::acceptsNoMore() const {
   auto Accepted =
       std::count_if(Links_.begin(), Links_.end(), [](const auto &Item) {
-        return !Item.second.OpenedHere_ && !Item.second.SentOn_;
+        return !Item.second.Outbound_ && !Item.second.SentOn_;
       });
-  return static_cast<std::size_t>(Accepted) >= AcceptedLinks;
+  return static_cast<std::size_t>(Accepted) >= MaxInboundLinks;
 }
 
 /// Closes links opened to others than the wanted peers, to seeds for example,
 /// once those are linked to: the number of links stays bounded everywhere.
-void NewsExchange::Impl::closeUnwanted(const std::vector<Member> &Wanted) {
+void GossipNode::Impl::closeUnwanted(const std::vector<Member> &Wanted) {
   auto IsWanted = [&](const std::string &Name) {
     return std::any_of(Wanted.begin(), Wanted.end(),
                        [&](const Member &M) { return M.Name_ == Name; });
   };
-  if (Wanted.size() < OpenedLinks)
+  if (Wanted.size() < OutboundLinks)
     return;
   for (const Member &M : Wanted)
     if (!linkedTo(M.Name_))
       return;
   for (const auto &[Which, L] : Links_)
-    if (L.OpenedHere_ && !L.Peer_.empty() && !IsWanted(L.Peer_))
+    if (L.Outbound_ && !L.Peer_.empty() && !IsWanted(L.Peer_))
       Hooks_.Close_(Which);
 }
 
-void NewsExchange::Impl::connect(const Endpoint &Control) {
+void GossipNode::Impl::connect(const Endpoint &Control) {
   if (Connecting_.insert(Control).second)
     Hooks_.Connect_(Control);
 }
 
-std::vector<PeerStatus> NewsExchange::Impl::peers() const {
-  std::vector<PeerStatus> Result;
+std::vector<MemberStatus> GossipNode::Impl::peers() const {
+  std::vector<MemberStatus> Result;
   for (const Member &M : Members_.all())
     Result.push_back({M, linkedTo(M.Name_)});
   return Result;
--- a/src/news-message.cc
+++ b/src/news-message.cc
@@ -8,7 +8,12 @@
 
 using Json = nlohmann::json;
 
-enum class Type : std::uint8_t { Heartbeat = 1, Wanted, News, Warning };
+enum class Type : std::uint8_t {
+  Heartbeat = 1,
+  StateRequest,
+  StateUpdate,
+  Warning
+};
 
 Json toJson(const ListParts &Parts) {
   std::vector<std::uint8_t> Bytes;
@@ -57,27 +62,17 @@
   Json Members = Json::array();
   for (const Member &Other : M.Members_)
     Members.push_back(toJson(Other));
-  return {raw(Type::Heartbeat),
-          toJson(M.Sender_),
-          M.Leaving_,
-          M.Routing_,
-          M.Through_,
-          M.KnownAgeMs_,
-          M.Reader_,
-          M.ReaderAgeMs_,
-          M.Sequence_,
-          M.Echo_,
-          M.PresentMs_,
-          Members,
-          M.Listed_,
-          toJson(M.Parts_),
-          M.Living_,
-          M.LivingAgeMs_};
+  return {raw(Type::Heartbeat), toJson(M.Sender_), M.Leaving_,
+          M.Routing_,           M.Through_,        M.StateAgeMs_,
+          M.ReaderScore_,       M.ReaderAgeMs_,    M.Sequence_,
+          M.EchoedSequence_,    M.UptimeMs_,       Members,
+          M.UpstreamCount_,     toJson(M.Parts_),  M.FirstAliveScore_,
+          M.FirstAliveAgeMs_};
 }
 
-Json toJson(const NewsWanted &M, MonoTime) {
-  return Json::array({raw(Type::Wanted), M.Routing_, M.Through_, M.Ended_,
-                      toJson(M.Parts_), toJson(M.Digests_)});
+Json toJson(const StateRequest &M, MonoTime) {
+  return Json::array({raw(Type::StateRequest), M.Routing_, M.Through_,
+                      M.IncludeEnded_, toJson(M.Parts_), toJson(M.Digests_)});
 }
 
 Json toJson(const RoutingTable &Table) {
@@ -105,19 +100,19 @@
   return Json::array({Batch.Through_, Halls});
 }
 
-Json toJson(const News &M, MonoTime Now) {
+Json toJson(const StateUpdate &M, MonoTime Now) {
   Json Unchanged = Json::array();
   for (Incarnation Which : M.Upstreams_.Unchanged_)
     Unchanged.push_back(raw(Which));
   Json Table = M.Routing_ ? toJson(*M.Routing_) : Json(nullptr);
   const UpstreamBatch &Batch = M.Upstreams_;
-  return {raw(Type::News),
+  return {raw(Type::StateUpdate),
           Table,
           Batch.Whole_,
           Batch.After_,
           Batch.Through_,
           detail::encodeChanges(Batch.Changes_, Now),
-          M.KnownAgeMs_,
+          M.StateAgeMs_,
           Unchanged,
           detail::encodeChanges(Batch.Ended_, Now),
           toJson(M.Evacuations_),
@@ -135,24 +130,24 @@
           detail::decodeEndpoint(J.at(2)), J.at(3).get<std::uint32_t>()};
 }
 
-NewsMessage heartbeatFrom(const Json &J) {
+GossipMessage heartbeatFrom(const Json &J) {
   PeerHeartbeat M;
   M.Sender_ = memberFrom(J.at(1));
   M.Leaving_ = J.at(2).get<bool>();
   M.Routing_ = J.at(3).get<Version>();
   M.Through_ = J.at(4).get<Revision>();
-  M.KnownAgeMs_ = J.at(5).get<std::uint32_t>();
-  M.Reader_ = J.at(6).get<std::uint64_t>();
+  M.StateAgeMs_ = J.at(5).get<std::uint32_t>();
+  M.ReaderScore_ = J.at(6).get<std::uint64_t>();
   M.ReaderAgeMs_ = J.at(7).get<std::uint32_t>();
   M.Sequence_ = J.at(8).get<std::uint64_t>();
-  M.Echo_ = J.at(9).get<std::uint64_t>();
-  M.PresentMs_ = J.at(10).get<std::uint32_t>();
+  M.EchoedSequence_ = J.at(9).get<std::uint64_t>();
+  M.UptimeMs_ = J.at(10).get<std::uint32_t>();
   for (const Json &Item : J.at(11))
     M.Members_.push_back(memberFrom(Item));
-  M.Listed_ = J.at(12).get<std::uint32_t>();
+  M.UpstreamCount_ = J.at(12).get<std::uint32_t>();
   M.Parts_ = partsFrom(J.at(13));
-  M.Living_ = J.at(14).get<std::uint64_t>();
-  M.LivingAgeMs_ = J.at(15).get<std::uint32_t>();
+  M.FirstAliveScore_ = J.at(14).get<std::uint64_t>();
+  M.FirstAliveAgeMs_ = J.at(15).get<std::uint32_t>();
   return M;
 }
 
@@ -196,14 +191,14 @@
   return Batch;
 }
 
-NewsMessage newsFrom(const Json &J, MonoTime Now) {
-  News M;
+GossipMessage newsFrom(const Json &J, MonoTime Now) {
+  StateUpdate M;
   M.Routing_ = routingFrom(J.at(1));
   M.Upstreams_.Whole_ = J.at(2).get<bool>();
   M.Upstreams_.After_ = J.at(3).get<Revision>();
   M.Upstreams_.Through_ = J.at(4).get<Revision>();
   M.Upstreams_.Changes_ = detail::decodeChanges(J.at(5), Now);
-  M.KnownAgeMs_ = J.at(6).get<std::uint32_t>();
+  M.StateAgeMs_ = J.at(6).get<std::uint32_t>();
   for (const Json &Item : J.at(7))
     M.Upstreams_.Unchanged_.push_back(
         static_cast<Incarnation>(Item.get<std::uint64_t>()));
@@ -219,7 +214,7 @@
   return M;
 }
 
-NewsMessage warningFrom(const Json &J) {
+GossipMessage warningFrom(const Json &J) {
   UpstreamWarning M;
   M.Upstream_ = static_cast<Incarnation>(J.at(1).get<std::uint64_t>());
   M.Flow_ = static_cast<FlowId>(J.at(2).get<std::uint64_t>());
@@ -231,15 +226,15 @@
   return M;
 }
 
-NewsMessage messageFrom(const Json &J, MonoTime Now) {
+GossipMessage messageFrom(const Json &J, MonoTime Now) {
   switch (static_cast<Type>(J.at(0).get<std::uint8_t>())) {
   case Type::Heartbeat:
     return heartbeatFrom(J);
-  case Type::Wanted:
-    return NewsWanted{J.at(1).get<Version>(), J.at(2).get<Revision>(),
-                      J.at(3).get<bool>(), partsFrom(J.at(4)),
-                      digestsFrom(J.at(5))};
-  case Type::News:
+  case Type::StateRequest:
+    return StateRequest{J.at(1).get<Version>(), J.at(2).get<Revision>(),
+                        J.at(3).get<bool>(), partsFrom(J.at(4)),
+                        digestsFrom(J.at(5))};
+  case Type::StateUpdate:
     return newsFrom(J, Now);
   case Type::Warning:
     return warningFrom(J);
@@ -249,7 +244,7 @@
 
 } // namespace
 
-std::string encodeNews(const NewsMessage &M, MonoTime Now) {
+std::string encodeGossip(const GossipMessage &M, MonoTime Now) {
   Json J =
       std::visit([Now](const auto &Typed) { return toJson(Typed, Now); }, M);
   std::string Result;
@@ -257,8 +252,9 @@
   return Result;
 }
 
-ErrorKind decodeNews(const std::string &Bytes, MonoTime Now, NewsMessage &M) {
-  if (Bytes.size() > MaxNewsMessage)
+ErrorKind decodeGossip(const std::string &Bytes, MonoTime Now,
+                       GossipMessage &M) {
+  if (Bytes.size() > MaxGossipMessageBytes)
     return ErrorKind::Oversized;
   try {
     M = messageFrom(Json::from_cbor(Bytes), Now);
--- a/src/news-parts.cc
+++ b/src/news-parts.cc
@@ -4,7 +4,7 @@
 
 namespace thymewall {
 
-using detail::NewsLink;
+using detail::GossipLink;
 
 namespace {
 
@@ -28,8 +28,8 @@
 
 /// Asks a peer for parts that it has and that nobody else was asked for: none
 /// comes twice, and no balancer sends the whole list to all.
-void NewsExchange::Impl::askForParts(MonoTime Now, LinkId Which) {
-  NewsLink &L = Links_[Which];
+void GossipNode::Impl::askForParts(MonoTime Now, LinkId Which) {
+  GossipLink &L = Links_[Which];
   if (L.AskedParts_.any() && Now < L.AskedPartsUntil_)
     return;
   ListParts Wanted = L.PeerParts_ & ~Parts_;
@@ -39,15 +39,17 @@
   if (Wanted.none())
     return;
   L.AskedParts_ =
-      firstOf(Wanted, Score_ + raw(Which), UpstreamsPerQuestion, L.peerList());
-  L.AskedPartsUntil_ = Now + AnswerWithin;
+      firstOf(Wanted, Score_ + raw(Which), UpstreamsPerRequest, L.peerList());
+  L.AskedPartsUntil_ = Now + RequestTimeout;
   L.Questions_.push_back(false);
   Version Ours = Routing_ ? Routing_->Version_ : 0;
-  Hooks_.Send_(Which, NewsWanted{Ours, 0, false, L.AskedParts_, std::nullopt});
+  Hooks_.Send_(Which,
+               StateRequest{Ours, 0, false, L.AskedParts_, std::nullopt});
 }
 
-void NewsExchange::Impl::takeParts(MonoTime Now, LinkId Which, const News &M) {
-  NewsLink &L = Links_[Which];
+void GossipNode::Impl::takeParts(MonoTime Now, LinkId Which,
+                                 const StateUpdate &M) {
+  GossipLink &L = Links_[Which];
   L.AskedParts_.reset();
   if (!bringsParts(M.Parts_))
     return;
@@ -60,13 +62,13 @@
 /// Whether any of these parts is still missing. Another copy of one that is
 /// here may name upstreams that have ended since, and its digest may be on its
 /// way to a peer that will find nothing absent.
-bool NewsExchange::Impl::bringsParts(const ListParts &Parts) const {
+bool GossipNode::Impl::bringsParts(const ListParts &Parts) const {
   return List_.through() == 0 && (Parts & ~Parts_).any();
 }
 
 /// Peers are told of parts when there are twice as many as they know of, so
 /// that a start sends few heartbeats, and of the last one at once.
-void NewsExchange::Impl::addParts(MonoTime Now, const ListParts &Parts) {
+void GossipNode::Impl::addParts(MonoTime Now, const ListParts &Parts) {
   Parts_ |= Parts;
   if (List_.through() == 0 &&
       (Parts_.count() >= 2 * ToldParts_ || Parts_.all()))
@@ -74,7 +76,7 @@
 }
 
 /// With all parts here a peer that knows a revision tells the differences.
-std::optional<PartDigests> NewsExchange::Impl::digestsToSend() const {
+std::optional<PartDigests> GossipNode::Impl::digestsToSend() const {
   if (List_.through() != 0 || !Parts_.all())
     return std::nullopt;
   return List_.digests();
--- a/src/news.cc
+++ b/src/news.cc
@@ -6,7 +6,7 @@
 
 namespace thymewall {
 
-using detail::NewsLink;
+using detail::GossipLink;
 
 namespace {
 
@@ -16,20 +16,20 @@
 
 } // namespace
 
-void NewsExchange::Impl::received(MonoTime Now, LinkId Which,
-                                  const NewsMessage &M) {
+void GossipNode::Impl::received(MonoTime Now, LinkId Which,
+                                const GossipMessage &M) {
   auto Known = Links_.find(Which);
   if (Known == Links_.end())
     return;
-  Known->second.SilentAt_ = Now + SilentAfter;
+  Known->second.SilentAt_ = Now + LinkTimeout;
   std::visit([&](const auto &Typed) { take(Now, Which, Typed); }, M);
 }
 
-void NewsExchange::Impl::take(MonoTime Now, LinkId Which,
-                              const PeerHeartbeat &M) {
+void GossipNode::Impl::take(MonoTime Now, LinkId Which,
+                            const PeerHeartbeat &M) {
   if (M.Sender_.Name_ == Options_.Self_.Name_)
     return Hooks_.Close_(Which); // a seed that is this process itself
-  NewsLink &L = Links_[Which];
+  GossipLink &L = Links_[Which];
   L.Peer_ = M.Sender_.Name_;
   L.LastHeard_ = M.Sequence_;
   Connecting_.erase(M.Sender_.Control_);
@@ -48,26 +48,27 @@
     Hooks_.Close_(Which); // it has been told of members by now
 }
 
-void NewsExchange::Impl::noteArrival(MonoTime Now, const PeerHeartbeat &M) {
-  Micros Present = std::chrono::milliseconds(M.PresentMs_);
-  if (Hooks_.OnArrival_ && Present < ArrivedWithin)
-    Hooks_.OnArrival_(Now - Present);
+void GossipNode::Impl::noteArrival(MonoTime Now, const PeerHeartbeat &M) {
+  Micros Present = std::chrono::milliseconds(M.UptimeMs_);
+  if (Hooks_.OnPeerJoined_ && Present < RecentStartAge)
+    Hooks_.OnPeerJoined_(Now - Present);
 }
 
-void NewsExchange::Impl::takeClaim(MonoTime Now, const NewsLink &L,
-                                   const PeerHeartbeat &M) {
-  if (M.KnownAgeMs_ == PeerHeartbeat::NeverKnown)
+void GossipNode::Impl::takeClaim(MonoTime Now, const GossipLink &L,
+                                 const PeerHeartbeat &M) {
+  if (M.StateAgeMs_ == PeerHeartbeat::UnknownAgeMs)
     return;
   Version Ours = Routing_ ? Routing_->Version_ : 0;
   if (Ours < M.Routing_ || List_.through() < M.Through_)
     return; // it speaks of more than what is known here
-  if (Now - L.sentAt(M.Echo_) > ClaimWithin) {
-    ++Counters_.StaleClaims_;
+  if (Now - L.sentAt(M.EchoedSequence_) > MaxEchoAge) {
+    ++Counters_.StaleConfirmations_;
     return;
   }
-  MonoTime AsOf = Now - std::chrono::milliseconds(M.KnownAgeMs_);
-  if (M.ReaderAgeMs_ != PeerHeartbeat::NeverKnown)
-    noteReader(M.Reader_, Now - std::chrono::milliseconds(M.ReaderAgeMs_), Now);
+  MonoTime AsOf = Now - std::chrono::milliseconds(M.StateAgeMs_);
+  if (M.ReaderAgeMs_ != PeerHeartbeat::UnknownAgeMs)
+    noteReader(M.ReaderScore_, Now - std::chrono::milliseconds(M.ReaderAgeMs_),
+               Now);
   confirm(Now, AsOf);
   // Told at once: word of a better reader that waits at each hop for the next
   // confirmation is out of date after three, and two go on reading.
@@ -75,72 +76,73 @@
     beatAll(Now);
 }
 
-void NewsExchange::Impl::noteReader(std::uint64_t Score, MonoTime At,
-                                    MonoTime Now) {
-  Reader_.note(Score, At, Now, ReadAfter);
+void GossipNode::Impl::noteReader(std::uint64_t Score, MonoTime At,
+                                  MonoTime Now) {
+  Reader_.note(Score, At, Now, TakeoverAge);
   if (Reader_.Score_ < Score_)
     Reading_ = false;
 }
 
-void NewsExchange::Impl::noteLiving(MonoTime Now, std::uint64_t Score,
-                                    MonoTime At) {
+void GossipNode::Impl::noteLiving(MonoTime Now, std::uint64_t Score,
+                                  MonoTime At) {
   bool OthersBefore = Living_.Score_ < Score_;
-  Living_.note(Score, At, Now, SilentAfter);
+  Living_.note(Score, At, Now, LinkTimeout);
   if (OthersBefore && Living_.Score_ >= Score_)
     FirstSince_ = Now;
 }
 
 /// Word of the first that lives counts if it was provably said a moment ago: a
 /// balancer that is cut off, alone or with others, must not wait for it.
-void NewsExchange::Impl::takeLiving(MonoTime Now, const NewsLink &L,
-                                    const PeerHeartbeat &M) {
-  bool Recent = Now - L.sentAt(M.Echo_) <= ClaimWithin;
+void GossipNode::Impl::takeLiving(MonoTime Now, const GossipLink &L,
+                                  const PeerHeartbeat &M) {
+  bool Recent = Now - L.sentAt(M.EchoedSequence_) <= MaxEchoAge;
   if (!Recent || M.Leaving_)
     return;
-  noteLiving(Now, detail::readScore(M.Sender_.Name_), Now);
-  if (M.LivingAgeMs_ != PeerHeartbeat::NeverKnown)
-    noteLiving(Now, M.Living_, Now - std::chrono::milliseconds(M.LivingAgeMs_));
+  noteLiving(Now, detail::readerScore(M.Sender_.Name_), Now);
+  if (M.FirstAliveAgeMs_ != PeerHeartbeat::UnknownAgeMs)
+    noteLiving(Now, M.FirstAliveScore_,
+               Now - std::chrono::milliseconds(M.FirstAliveAgeMs_));
   // Passed on at once: waiting at each hop for the next heartbeat, it would be
   // too old after three.
-  bool Fresher = Living_.At_ - ToldLivingAt_ > TellLivingAfter;
+  bool Fresher = Living_.At_ - ToldLivingAt_ > AliveUpdateStep;
   if (Fresher && !Members_.hearsOfAll())
     beatAll(Now);
 }
 
-void NewsExchange::Impl::confirm(MonoTime Now, MonoTime AsOf) {
+void GossipNode::Impl::confirm(MonoTime Now, MonoTime AsOf) {
   if (AsOf <= KnownAsOf_)
     return;
   KnownAsOf_ = AsOf;
   Hooks_.OnConfirmed_(AsOf);
-  if (KnownAsOf_ - ToldAsOf_ > TellAfter)
+  if (KnownAsOf_ - ToldAsOf_ > ConfirmationStep)
     beatAll(Now);
 }
 
-void NewsExchange::Impl::askIfBehind(MonoTime Now, LinkId Which,
-                                     const PeerHeartbeat &M) {
+void GossipNode::Impl::askIfBehind(MonoTime Now, LinkId Which,
+                                   const PeerHeartbeat &M) {
   Version Ours = Routing_ ? Routing_->Version_ : 0;
   bool Behind = Ours < M.Routing_ || List_.through() < M.Through_;
-  NewsLink &L = Links_[Which];
+  GossipLink &L = Links_[Which];
   L.PeerParts_ = M.Through_ == 0 ? M.Parts_ : allParts();
-  L.PeerListed_ = M.Listed_;
+  L.PeerListed_ = M.UpstreamCount_;
   if (startsByParts(L))
     return askForParts(Now, Which);
   bool WantsEnded = EndedAnswers_ < AskedForEnded && !L.AskedEnded_ &&
                     detail::has(detail::Mechanism::EndedUpstreams);
   if ((!Behind && !WantsEnded) || Now < AskAgainAt_)
     return;
-  AskAgainAt_ = Now + AnswerWithin;
+  AskAgainAt_ = Now + RequestTimeout;
   L.AskedAt_ = Now;
   L.AskedEnded_ = L.AskedEnded_ || WantsEnded;
   L.Questions_.push_back(WantsEnded);
   Hooks_.Send_(
       Which,
-      NewsWanted{Ours, List_.through(), WantsEnded, {}, digestsToSend()});
+      StateRequest{Ours, List_.through(), WantsEnded, {}, digestsToSend()});
 }
 
-void NewsExchange::Impl::take(MonoTime Now, LinkId Which, const NewsWanted &M) {
-  News Answer;
-  Answer.KnownAgeMs_ = knownAgeMs(Now);
+void GossipNode::Impl::take(MonoTime Now, LinkId Which, const StateRequest &M) {
+  StateUpdate Answer;
+  Answer.StateAgeMs_ = knownAgeMs(Now);
   if (Routing_ && Routing_->Version_ > M.Routing_)
     Answer.Routing_ = Routing_;
   Answer.Parts_ = M.Parts_ & partsHere();
@@ -151,40 +153,40 @@
   else
     Answer.Upstreams_ = List_.since(M.Through_);
   Answer.Evacuations_ = Evacuations_.all();
-  if (M.Ended_)
+  if (M.IncludeEnded_)
     Answer.Upstreams_.Ended_ = List_.ended();
-  ++Counters_.NewsSent_;
+  ++Counters_.UpdatesSent_;
   Hooks_.Send_(Which, Answer);
 }
 
-void NewsExchange::Impl::take(MonoTime Now, LinkId Which, const News &M) {
-  ++Counters_.NewsTaken_;
+void GossipNode::Impl::take(MonoTime Now, LinkId Which, const StateUpdate &M) {
+  ++Counters_.UpdatesReceived_;
   if (Links_[Which].takeAnswer())
     ++EndedAnswers_;
   if (M.Parts_.any())
     return takeParts(Now, Which, M);
   AskAgainAt_ = Now;
   if (!apply(Now, M.Routing_, M.Upstreams_, M.Evacuations_)) {
-    ++Counters_.Gaps_; // the next heartbeat shows that we are behind
+    ++Counters_.RevisionGaps_; // the next heartbeat shows that we are behind
     return;
   }
   // The answer was made after the question was sent.
-  bool Proved = Now - Links_[Which].AskedAt_ <= ClaimWithin;
-  if (Proved && M.KnownAgeMs_ != PeerHeartbeat::NeverKnown)
-    confirm(Now, Now - std::chrono::milliseconds(M.KnownAgeMs_));
+  bool Proved = Now - Links_[Which].AskedAt_ <= MaxEchoAge;
+  if (Proved && M.StateAgeMs_ != PeerHeartbeat::UnknownAgeMs)
+    confirm(Now, Now - std::chrono::milliseconds(M.StateAgeMs_));
   beatAll(Now);
 }
 
-void NewsExchange::Impl::take(MonoTime Now, LinkId Which,
-                              const UpstreamWarning &M) {
+void GossipNode::Impl::take(MonoTime Now, LinkId Which,
+                            const UpstreamWarning &M) {
   if (tell(Now, M, &Which))
     Hooks_.OnWarning_(M);
 }
 
 /// Sends a warning on every link but the one it came from; false when it went
 /// through here a moment ago.
-bool NewsExchange::Impl::tell(MonoTime Now, const UpstreamWarning &M,
-                              const LinkId *From) {
+bool GossipNode::Impl::tell(MonoTime Now, const UpstreamWarning &M,
+                            const LinkId *From) {
   auto Known = Told_.find(M);
   bool Repeated = Known != Told_.end() && Now < Known->second;
   auto SameKind = [&M](const auto &Item) {
@@ -192,9 +194,9 @@
   };
   auto Told = std::count_if(Told_.begin(), Told_.end(), SameKind);
   if (!detail::has(detail::Mechanism::Warnings) || Repeated ||
-      static_cast<std::size_t>(Told) >= MaxWarnings)
+      static_cast<std::size_t>(Told) >= MaxWarningsPerInterval)
     return false;
-  Told_[M] = Now + WarnAgainAfter;
+  Told_[M] = Now + WarningInterval;
   for (const auto &[Which, L] : Links_) {
     if (From && *From == Which)
       continue;
@@ -204,9 +206,9 @@
   return true;
 }
 
-bool NewsExchange::Impl::apply(MonoTime Now, const RoutingTablePtr &Routing,
-                               const UpstreamBatch &Upstreams,
-                               const EvacuationBatch &Evacuations) {
+bool GossipNode::Impl::apply(MonoTime Now, const RoutingTablePtr &Routing,
+                             const UpstreamBatch &Upstreams,
+                             const EvacuationBatch &Evacuations) {
   if (Routing && (!Routing_ || Routing->Version_ > Routing_->Version_)) {
     Routing_ = Routing;
     Hooks_.OnRouting_(Routing_);
@@ -219,20 +221,21 @@
   // a hall that is evacuated by the same answer. Not where changes are missing:
   // upstreams of a hall that is taken back may have turned cold.
   applyEvacuations(Evacuations);
-  bool Away = !First && Now - KnownAsOf_ > AwayAfter;
+  bool Away = !First && Now - KnownAsOf_ > OutageAge;
   if (First || !Changes.empty())
     Hooks_.OnUpstreams_(Changes, Away);
   return true;
 }
 
-void NewsExchange::Impl::applyEvacuations(const EvacuationBatch &Batch) {
+void GossipNode::Impl::applyEvacuations(const EvacuationBatch &Batch) {
   std::vector<EvacuationChange> Changes;
   Evacuations_.apply(Batch, Changes);
   if (!Changes.empty() && Hooks_.OnEvacuations_)
     Hooks_.OnEvacuations_(Changes);
 }
 
-void NewsExchange::Impl::readStale(MonoTime Now, const IntentAnswer &Answer) {
+void GossipNode::Impl::staleListRead(MonoTime Now,
+                                     const ConfigResponse &Answer) {
   ListParts Parts = Answer.Parts_.value_or(allParts());
   bool Missing = bringsParts(Parts);
   apply(Now, Answer.Routing_, Missing ? Answer.Batch_ : UpstreamBatch{},
@@ -240,15 +243,15 @@
   addParts(Now, Parts);
 }
 
-bool NewsExchange::Impl::readDone(MonoTime Now, const IntentAnswer &Answer,
-                                  MonoTime AsOf) {
+bool GossipNode::Impl::readSucceeded(MonoTime Now, const ConfigResponse &Answer,
+                                     MonoTime AsOf) {
   Revision Before = List_.through();
   if (!apply(Now, Answer.Routing_, Answer.Batch_, Answer.Evacuations_))
     return false;
   // Else those that start together all go on reading until they hear of a
   // better reader.
   if (!EverRead_)
-    ReadAgainFrom_ = Now + PeersWithin;
+    ReadAgainFrom_ = Now + FirstReadPause;
   EverRead_ = true;
   noteReader(Score_, Now, Now);
   Reading_ = Reader_.Score_ == Score_;
@@ -258,32 +261,32 @@
   return true;
 }
 
-FleetView NewsExchange::Impl::fleetView(MonoTime Now) const {
+FleetView GossipNode::Impl::fleetView(MonoTime Now) const {
   FleetView View;
   View.Self_ = Score_;
   for (const Member &M : Members_.all())
-    View.Others_.push_back(detail::readScore(M.Name_));
+    View.Others_.push_back(detail::readerScore(M.Name_));
   View.Balancers_ = fleetSize();
-  View.Settled_ = !Leaving_ && Now - PresentSince_ >= ArrivedWithin;
+  View.Settled_ = !Leaving_ && Now - PresentSince_ >= RecentStartAge;
   return View;
 }
 
 /// A list takes so long that knowledge grows old meanwhile: without word of it
 /// all those next in the order would list, too.
-void NewsExchange::Impl::readingList(MonoTime Now) {
+void GossipNode::Impl::listReadStarted(MonoTime Now) {
   if (KnownAsOf_ == MonoTime{})
     return;
   noteReader(Score_, Now, Now);
   beatAll(Now);
 }
 
-MonoTime NewsExchange::Impl::readFrom() const {
+MonoTime GossipNode::Impl::nextReadAt() const {
   bool ReadsAnyway = !detail::has(detail::Mechanism::OneReader);
   if (ReadsAnyway || Reading_)
     return ReadAgainFrom_;
   if (KnownAsOf_ == MonoTime{}) { // peers are about to tell
     auto Place = static_cast<Micros::rep>(Members_.placeOf(Score_));
-    return std::max(ReadAgainFrom_, PresentSince_ + StartStep * Place);
+    return std::max(ReadAgainFrom_, PresentSince_ + StartupReadStep * Place);
   }
   bool OtherReads = Reader_.Score_ < Score_;
   MonoTime ToldAt = OtherReads ? std::max(KnownAsOf_, Reader_.At_) : KnownAsOf_;
@@ -294,77 +297,76 @@
 /// Its place in the order counts while one before it lives, so that those had
 /// their turn. In a part of the fleet that is cut off from them its own members
 /// read: within a rule's bound, whatever their places in the whole fleet.
-MonoTime NewsExchange::Impl::turnToRead(MonoTime ToldAt) const {
+MonoTime GossipNode::Impl::turnToRead(MonoTime ToldAt) const {
   std::size_t Place = Members_.placeOf(Score_);
   if (Place == 0)
     return KnownAsOf_;
-  MonoTime From = ToldAt + ReadAfter;
+  MonoTime From = ToldAt + TakeoverAge;
   if (Links_.empty())
     return From;
   bool FirstHere = Living_.Score_ >= Score_ && !Members_.hearsOfAll();
   if (FirstHere)
     return std::max(From, FirstSince_ + cutOffSpread());
-  std::size_t Steps = Members_.hearsOfAll() ? std::min(Place, FewSteps) : Place;
-  return From + ReadStep * static_cast<Micros::rep>(Steps);
+  std::size_t Steps =
+      Members_.hearsOfAll() ? std::min(Place, MaxTakeoverSteps) : Place;
+  return From + TakeoverStep * static_cast<Micros::rep>(Steps);
 }
 
 /// Keeps those apart that hear in the same moment of none before them.
-Micros NewsExchange::Impl::cutOffSpread() const {
+Micros GossipNode::Impl::cutOffSpread() const {
   auto Share = std::ldexp(static_cast<double>(Score_), -64);
   return Micros(static_cast<Micros::rep>(
-      Share * static_cast<double>(CutOffSpread.count())));
+      Share * static_cast<double>(PartitionJitter.count())));
 }
 
-NewsCounters NewsExchange::Impl::counters() const {
-  NewsCounters Result = Counters_;
+GossipCounters GossipNode::Impl::counters() const {
+  GossipCounters Result = Counters_;
   Result.Links_ = Links_.size();
   Result.Members_ = Members_.size();
   return Result;
 }
 
-NewsExchange::NewsExchange(NewsOptions Options, NewsHooks Hooks)
+GossipNode::GossipNode(GossipOptions Options, GossipHooks Hooks)
     : Impl_(std::make_unique<Impl>(std::move(Options), std::move(Hooks))) {}
-NewsExchange::~NewsExchange() = default;
-void NewsExchange::opened(MonoTime Now, LinkId Link, bool OpenedHere) {
-  Impl_->opened(Now, Link, OpenedHere);
-}
-void NewsExchange::closed(MonoTime Now, LinkId Link) {
-  Impl_->closed(Now, Link);
+GossipNode::~GossipNode() = default;
+void GossipNode::opened(MonoTime Now, LinkId Link, bool Outbound) {
+  Impl_->opened(Now, Link, Outbound);
 }
-void NewsExchange::connectFailed(MonoTime Now, const Endpoint &Control) {
+void GossipNode::closed(MonoTime Now, LinkId Link) { Impl_->closed(Now, Link); }
+void GossipNode::connectFailed(MonoTime Now, const Endpoint &Control) {
   Impl_->connectFailed(Now, Control);
 }
-void NewsExchange::received(MonoTime Now, LinkId Link, const NewsMessage &M) {
+void GossipNode::received(MonoTime Now, LinkId Link, const GossipMessage &M) {
   Impl_->received(Now, Link, M);
 }
-bool NewsExchange::readDone(MonoTime Now, const IntentAnswer &Answer,
-                            MonoTime AsOf) {
-  return Impl_->readDone(Now, Answer, AsOf);
+bool GossipNode::readSucceeded(MonoTime Now, const ConfigResponse &Answer,
+                               MonoTime AsOf) {
+  return Impl_->readSucceeded(Now, Answer, AsOf);
 }
-void NewsExchange::warn(MonoTime Now, const UpstreamWarning &M) {
+void GossipNode::warn(MonoTime Now, const UpstreamWarning &M) {
   Impl_->warn(Now, M);
 }
-void NewsExchange::readFailed() { Impl_->readFailed(); }
-void NewsExchange::readingList(MonoTime Now) { Impl_->readingList(Now); }
-void NewsExchange::readStale(MonoTime Now, const IntentAnswer &Answer) {
-  Impl_->readStale(Now, Answer);
+void GossipNode::readFailed() { Impl_->readFailed(); }
+void GossipNode::listReadStarted(MonoTime Now) { Impl_->listReadStarted(Now); }
+void GossipNode::staleListRead(MonoTime Now, const ConfigResponse &Answer) {
+  Impl_->staleListRead(Now, Answer);
 }
-void NewsExchange::setLeaving(MonoTime Now) { Impl_->setLeaving(Now); }
-void NewsExchange::setSeeds(std::vector<Endpoint> Seeds) {
+void GossipNode::setLeaving(MonoTime Now) { Impl_->setLeaving(Now); }
+void GossipNode::setSeeds(std::vector<Endpoint> Seeds) {
   Impl_->setSeeds(std::move(Seeds));
 }
-void NewsExchange::tick(MonoTime Now) { Impl_->tick(Now); }
-MonoTime NewsExchange::readFrom() const { return Impl_->readFrom(); }
-Revision NewsExchange::through() const { return Impl_->through(); }
-MonoTime NewsExchange::knownAsOf() const { return Impl_->knownAsOf(); }
-std::size_t NewsExchange::fleetSize() const { return Impl_->fleetSize(); }
-FleetView NewsExchange::fleetView(MonoTime Now) const {
+void GossipNode::tick(MonoTime Now) { Impl_->tick(Now); }
+MonoTime GossipNode::nextReadAt() const { return Impl_->nextReadAt(); }
+Revision GossipNode::through() const { return Impl_->through(); }
+MonoTime GossipNode::confirmedAsOf() const { return Impl_->confirmedAsOf(); }
+std::size_t GossipNode::fleetSize() const { return Impl_->fleetSize(); }
+FleetView GossipNode::fleetView(MonoTime Now) const {
   return Impl_->fleetView(Now);
 }
-bool NewsExchange::hallIsLost(MonoTime Now) const {
-  return Impl_->hallIsLost(Now);
+bool GossipNode::isDataHallLost(MonoTime Now) const {
+  return Impl_->isDataHallLost(Now);
 }
-NewsCounters NewsExchange::counters() const { return Impl_->counters(); }
-std::vector<PeerStatus> NewsExchange::peers() const { return Impl_->peers(); }
+GossipCounters GossipNode::counters() const { return Impl_->counters(); }
+std::vector<MemberStatus> GossipNode::peers() const { return Impl_->peers(); }
 
 } // namespace thymewall
--- a/src/packet-log.cc
+++ b/src/packet-log.cc
@@ -49,17 +49,17 @@
   return "";
 }
 
-const char *nameOf(IntentAnswer::Outcome Outcome) {
+const char *nameOf(ConfigResponse::Outcome Outcome) {
   switch (Outcome) {
-  case IntentAnswer::Outcome::Done:
+  case ConfigResponse::Outcome::Done:
     return "done";
-  case IntentAnswer::Outcome::Stale:
+  case ConfigResponse::Outcome::Stale:
     return "stale";
-  case IntentAnswer::Outcome::HistoryGone:
+  case ConfigResponse::Outcome::HistoryGone:
     return "history_gone";
-  case IntentAnswer::Outcome::Refused:
+  case ConfigResponse::Outcome::Refused:
     return "refused";
-  case IntentAnswer::Outcome::Failed:
+  case ConfigResponse::Outcome::Failed:
     return "failed";
   }
   return "";
@@ -137,11 +137,11 @@
                                    {"addresses", Table.Addresses_.size()}});
 }
 
-void ServiceLog::answered(MonoTime Now, const IntentAnswer &Answer) {
-  bool Served = Answer.Outcome_ == IntentAnswer::Outcome::Done ||
-                Answer.Outcome_ == IntentAnswer::Outcome::Stale ||
-                Answer.Outcome_ == IntentAnswer::Outcome::HistoryGone;
-  if (Answer.Outcome_ == IntentAnswer::Outcome::HistoryGone)
+void ServiceLog::answered(MonoTime Now, const ConfigResponse &Answer) {
+  bool Served = Answer.Outcome_ == ConfigResponse::Outcome::Done ||
+                Answer.Outcome_ == ConfigResponse::Outcome::Stale ||
+                Answer.Outcome_ == ConfigResponse::Outcome::HistoryGone;
+  if (Answer.Outcome_ == ConfigResponse::Outcome::HistoryGone)
     logDecision("history_gone", {});
   if (Served == !failing())
     return;
--- a/src/packet-log.h
+++ b/src/packet-log.h
@@ -29,7 +29,7 @@
 
   explicit ServiceLog(Writer Write = logState) : Write_(std::move(Write)) {}
 
-  void answered(MonoTime Now, const IntentAnswer &Answer);
+  void answered(MonoTime Now, const ConfigResponse &Answer);
   /// All that was published up to \p AsOf is known, whoever read it.
   void confirmed(MonoTime AsOf);
 
--- a/src/packet-pages.cc
+++ b/src/packet-pages.cc
@@ -41,11 +41,11 @@
       {"late_wakes", C.LateWakes_},
       {"malformed", R.Malformed_},
       {"heartbeats_sent", R.News_.HeartbeatsSent_},
-      {"news_sent", R.News_.NewsSent_},
-      {"news_taken", R.News_.NewsTaken_},
-      {"news_gaps", R.News_.Gaps_},
+      {"news_sent", R.News_.UpdatesSent_},
+      {"news_taken", R.News_.UpdatesReceived_},
+      {"news_gaps", R.News_.RevisionGaps_},
       {"warnings_sent", R.News_.WarningsSent_},
-      {"stale_claims", R.News_.StaleClaims_},
+      {"stale_claims", R.News_.StaleConfirmations_},
       {"peer_links", R.News_.Links_},
       {"peers", R.News_.Members_},
       {"service_calls", R.ServiceCalls_},
@@ -111,7 +111,7 @@
   for (const SteeredUpstream &U : R.Status_.Upstreams_)
     Upstreams.push_back(upstreamJson(R, U));
   Json Peers = Json::array();
-  for (const PeerStatus &P : R.Peers_)
+  for (const MemberStatus &P : R.Peers_)
     Peers.push_back({{"name", P.Peer_.Name_},
                      {"data_hall", P.Peer_.DataHall_},
                      {"control", formatEndpoint(P.Peer_.Control_)},
--- a/src/packet-pages.h
+++ b/src/packet-pages.h
@@ -19,9 +19,9 @@
   MonoTime Now_{};
   PacketStatus Status_;
   PacketCounters Counters_;
-  NewsCounters News_;
+  GossipCounters News_;
   PeerTraffic Traffic_;
-  std::vector<PeerStatus> Peers_;
+  std::vector<MemberStatus> Peers_;
   RoutingTablePtr Routing_;
   std::uint64_t Malformed_ = 0;
   std::uint64_t ServiceCalls_ = 0;
--- a/src/packet-process-control.cc
+++ b/src/packet-process-control.cc
@@ -20,7 +20,7 @@
 } // namespace
 
 void PacketProcess::Impl::noteHall(MonoTime Now) {
-  if (News_.hallIsLost(Now) == HallLost_)
+  if (News_.isDataHallLost(Now) == HallLost_)
     return;
   HallLost_ = !HallLost_;
   logState(HallLost_ ? "data_hall_lost" : "data_hall_back",
@@ -75,7 +75,7 @@
   R.ServiceFailures_ = ServiceFailures_;
   R.RefusedItems_ = RefusedItems_;
   R.LogLinesDropped_ = droppedLogLines();
-  R.Reads_ = News_.readFrom() <= R.Now_;
+  R.Reads_ = News_.nextReadAt() <= R.Now_;
   R.Delays_ = &Delays_;
   return R;
 }
--- a/src/packet-process-impl.h
+++ b/src/packet-process-impl.h
@@ -56,10 +56,10 @@
   CheckerHooks checkerHooks();
   MonoTime askPeers();
   void onPong(const std::string &Bytes);
-  NewsHooks newsHooks();
+  GossipHooks newsHooks();
   void onPeerMessage(LinkId Link, const std::string &Bytes);
   void sendReset(const ResetFlow &R);
-  void onAnswer(const IntentAnswer &Answer);
+  void onAnswer(const ConfigResponse &Answer);
   void review();
   void endWhenQuiet(MonoTime Now);
   void startCall(MonoTime Now);
@@ -89,10 +89,10 @@
   OpeningRetries Openings_;
   PathWitness Path_;
   UpstreamChecker Checker_;
-  IntentReader Reader_;
+  ConfigReader Reader_;
   IntentCaller Call_;
   PeerLinks Links_;
-  NewsExchange News_;
+  GossipNode News_;
   PeerTraffic Traffic_;
   HttpServer Readiness_;
   std::optional<HttpServer> Metrics_;
--- a/src/packet-process-news.cc
+++ b/src/packet-process-news.cc
@@ -9,31 +9,31 @@
 namespace thymewall::detail {
 
 void PacketProcess::Impl::startCall(MonoTime Now) {
-  Reader_.known(News_.through());
-  std::optional<IntentCall> Call = Reader_.next(Now, News_.readFrom());
+  Reader_.noteRevision(News_.through());
+  std::optional<ConfigRequest> Call = Reader_.next(Now, News_.nextReadAt());
   if (!Call)
     return;
   ++ServiceCalls_;
-  if (Call->Kind_ == IntentCall::Kind::List)
-    News_.readingList(Now);
-  Call_(*Call, [this](const IntentAnswer &Answer) { onAnswer(Answer); });
+  if (Call->Kind_ == ConfigRequest::Kind::List)
+    News_.listReadStarted(Now);
+  Call_(*Call, [this](const ConfigResponse &Answer) { onAnswer(Answer); });
 }
 
-void PacketProcess::Impl::onAnswer(const IntentAnswer &Answer) {
+void PacketProcess::Impl::onAnswer(const ConfigResponse &Answer) {
   MonoTime Now = monoNow();
   Reader_.answered(Now, Answer, News_.fleetSize());
-  bool Done = Answer.Outcome_ == IntentAnswer::Outcome::Done;
-  bool Stale = Answer.Outcome_ == IntentAnswer::Outcome::Stale;
+  bool Done = Answer.Outcome_ == ConfigResponse::Outcome::Done;
+  bool Stale = Answer.Outcome_ == ConfigResponse::Outcome::Stale;
   ServiceLog_.answered(Now, Answer);
   RefusedItems_ += Answer.RefusedItems_;
   if (!Done && !Stale)
     ++ServiceFailures_;
   if (Stale)
-    News_.readStale(Now, Answer);
+    News_.staleListRead(Now, Answer);
   else if (!Done)
     News_.readFailed();
-  else if (!News_.readDone(Now, Answer, Reader_.completeAt()))
-    Reader_.listAgain();
+  else if (!News_.readSucceeded(Now, Answer, Reader_.completeAt()))
+    Reader_.requestList();
   review();
 }
 
@@ -84,8 +84,8 @@
 
 void PacketProcess::Impl::onPeerMessage(LinkId Link, const std::string &Bytes) {
   MonoTime Now = monoNow();
-  NewsMessage M;
-  ErrorKind Kind = decodeNews(Bytes, Now, M);
+  GossipMessage M;
+  ErrorKind Kind = decodeGossip(Bytes, Now, M);
   if (Kind == ErrorKind::None) {
     Traffic_.received(M, Bytes.size());
     News_.received(Now, Link, M);
@@ -104,10 +104,10 @@
   logState("knowledge_current", {{"revision", News_.through()}});
 }
 
-NewsHooks PacketProcess::Impl::newsHooks() {
-  NewsHooks Hooks;
-  Hooks.Send_ = [this](LinkId Link, const NewsMessage &M) {
-    std::string Bytes = encodeNews(M, monoNow());
+GossipHooks PacketProcess::Impl::newsHooks() {
+  GossipHooks Hooks;
+  Hooks.Send_ = [this](LinkId Link, const GossipMessage &M) {
+    std::string Bytes = encodeGossip(M, monoNow());
     Traffic_.sent(M, Bytes.size());
     Links_.send(Link, Bytes);
   };
@@ -135,7 +135,7 @@
   Hooks.OnWarning_ = [this](const UpstreamWarning &M) {
     Core_.warned(monoNow(), M);
   };
-  Hooks.OnArrival_ = [this](MonoTime At) { Core_.arrived(At); };
+  Hooks.OnPeerJoined_ = [this](MonoTime At) { Core_.arrived(At); };
   Hooks.OnConfirmed_ = [this](MonoTime AsOf) {
     noteCurrent();
     Core_.confirm(AsOf);
--- a/src/packet-process.cc
+++ b/src/packet-process.cc
@@ -21,7 +21,7 @@
   return Why == ErrorKind::NoneLeft || Why == ErrorKind::UnknownCookie;
 }
 
-NewsOptions newsOptions(const PacketSettings &S) {
+GossipOptions newsOptions(const PacketSettings &S) {
   return {{S.Name_, S.DataHall_, S.AdvertisedControl_, 0}, S.Seeds_};
 }
 
@@ -74,7 +74,7 @@
       Checker_(Context, checkerHooks()),
       Reader_(randomShare(), isSeed(Settings_)),
       Call_(Hooks_.MakeCaller_(Context, Settings_.Configuration_)),
-      Links_(Context, Settings_.Control_, MaxNewsMessage, linkHooks()),
+      Links_(Context, Settings_.Control_, MaxGossipMessageBytes, linkHooks()),
       News_(newsOptions(Settings_), newsHooks()),
       Readiness_(
           Context, Settings_.Readiness_,
@@ -175,10 +175,10 @@
   }
   noteReady();
   if (Now >= PeersBy_ && News_.fleetSize() == 1)
-    Reader_.noPeers(Now);
+    Reader_.noPeersFound(Now);
   startCall(Now);
   Timer_.expires_at(
-      toSteady(std::min(NextTick_, Reader_.dueAt(News_.readFrom()))));
+      toSteady(std::min(NextTick_, Reader_.dueAt(News_.nextReadAt()))));
   Timer_.async_wait([this](const asio::error_code &Error) {
     if (!Error)
       review();
--- a/src/packet-process.h
+++ b/src/packet-process.h
@@ -16,8 +16,9 @@
 constexpr std::size_t MaxPacket = 2048;
 
 /// Makes a call of the configuration service and gives its answer once.
-using IntentCaller = std::function<void(
-    const IntentCall &Call, std::function<void(const IntentAnswer &)> Done)>;
+using IntentCaller =
+    std::function<void(const ConfigRequest &Call,
+                       std::function<void(const ConfigResponse &)> Done)>;
 
 /// What an adapter provides. Encoders fill a buffer of `MaxPacket` bytes and
 /// give the size.
--- a/src/peer-choice.cc
+++ b/src/peer-choice.cc
@@ -35,7 +35,7 @@
   return Chosen;
 }
 
-std::uint64_t readScore(const std::string &Name) {
+std::uint64_t readerScore(const std::string &Name) {
   return hashPair(nameId(Name), ReadOrder);
 }
 
--- a/src/peer-choice.h
+++ b/src/peer-choice.h
@@ -15,7 +15,7 @@
                                 std::size_t Limit, std::size_t FarLimit);
 
 /// Balancers read the configuration service in the order of this number.
-std::uint64_t readScore(const std::string &Name);
+std::uint64_t readerScore(const std::string &Name);
 
 } // namespace thymewall::detail
 
--- a/src/peer-traffic.h
+++ b/src/peer-traffic.h
@@ -16,15 +16,15 @@
     std::uint64_t Messages_ = 0;
     std::uint64_t Bytes_ = 0;
   };
-  static constexpr std::size_t Kinds = std::variant_size_v<NewsMessage>;
-  /// In the order of `NewsMessage`.
+  static constexpr std::size_t Kinds = std::variant_size_v<GossipMessage>;
+  /// In the order of `GossipMessage`.
   static constexpr std::array<const char *, Kinds> Names = {
       "heartbeat", "question", "news", "warning"};
 
-  void sent(const NewsMessage &M, std::size_t Bytes) {
+  void sent(const GossipMessage &M, std::size_t Bytes) {
     add(Sent_[M.index()], Bytes);
   }
-  void received(const NewsMessage &M, std::size_t Bytes) {
+  void received(const GossipMessage &M, std::size_t Bytes) {
     add(Received_[M.index()], Bytes);
   }
   const std::array<Count, Kinds> &allSent() const { return Sent_; }
--- a/test/ended-answers-test.cc
+++ b/test/ended-answers-test.cc
@@ -29,7 +29,7 @@
 
   /// A peer's answer to a question.
   void answer(std::chrono::milliseconds Time, std::uint64_t Peer) {
-    News M;
+    StateUpdate M;
     M.Upstreams_.Through_ = Published_;
     M.Upstreams_.Whole_ = true;
     News_.received(at(Time), LinkId{Peer}, M);
@@ -45,14 +45,14 @@
             Endpoint::v4(static_cast<std::uint32_t>(Which + 1), 8166), 0};
   }
 
-  NewsHooks hooks() {
-    NewsHooks Hooks;
-    Hooks.Send_ = [this](LinkId Link, const NewsMessage &M) {
-      const auto *Wanted = std::get_if<NewsWanted>(&M);
+  GossipHooks hooks() {
+    GossipHooks Hooks;
+    Hooks.Send_ = [this](LinkId Link, const GossipMessage &M) {
+      const auto *Wanted = std::get_if<StateRequest>(&M);
       if (!Wanted)
         return;
       ++Asked_;
-      if (Wanted->Ended_)
+      if (Wanted->IncludeEnded_)
         AskedEnded_.insert(static_cast<std::uint64_t>(Link));
     };
     Hooks.Connect_ = [](const Endpoint &) {};
@@ -65,7 +65,7 @@
   }
 
   Revision Published_ = 0;
-  NewsExchange News_;
+  GossipNode News_;
 };
 
 } // namespace
--- a/test/evacuation-test.cc
+++ b/test/evacuation-test.cc
@@ -132,7 +132,7 @@
 
 TEST_CASE("on a calm day an evacuation is known everywhere within a second") {
   for (std::size_t Count : {8U, 90U}) {
-    NewsFleet Fleet(Count);
+    GossipFleet Fleet(Count);
     Fleet.run(30s);
     Fleet.publishEvacuation("hall-1", true);
     Fleet.run(31s);
@@ -152,7 +152,7 @@
 TEST_CASE("a start with a stale list hears of an evacuation from the first "
           "peer") {
   for (std::size_t Count : {8U, 90U}) {
-    NewsFleet Fleet(Count);
+    GossipFleet Fleet(Count);
     Fleet.setStaleBy(3s);
     Fleet.run(30s);
     Fleet.publishEvacuation("hall-1", true);
@@ -173,7 +173,7 @@
     "are known everywhere within 5 s of calm") {
   rc::check([] {
     auto Count = *rc::gen::inRange<std::size_t>(3, 24);
-    NewsFleet Fleet(Count);
+    GossipFleet Fleet(Count);
     Fleet.setStaleBy(std::chrono::milliseconds(*rc::gen::inRange(0, 3000)));
     Micros Now = 12s;
     Fleet.run(Now);
--- a/test/fleet-start-test.cc
+++ b/test/fleet-start-test.cc
@@ -46,10 +46,10 @@
       Count += static_cast<double>(Fleet_.listed(Which)) >= Share * All;
     return Count;
   }
-  NewsFleet &fleet() { return Fleet_; }
+  GossipFleet &fleet() { return Fleet_; }
 
 private:
-  NewsFleet Fleet_;
+  GossipFleet Fleet_;
   std::size_t Upstreams_;
   std::size_t Before_ = 0;
 };
@@ -57,7 +57,7 @@
 /// The last members in the order of readers.
 std::vector<std::size_t> lastReaders(std::size_t Balancers, std::size_t Count) {
   auto Score = [](std::size_t Which) {
-    return detail::readScore("lb-" + std::to_string(Which));
+    return detail::readerScore("lb-" + std::to_string(Which));
   };
   std::vector<std::size_t> Order(Balancers);
   std::iota(Order.begin(), Order.end(), 0U);
@@ -78,7 +78,8 @@
     S.fleet().run(3s + 250ms);
     // Parts until there are 64: the last one may go beyond by its own size.
     std::size_t List = Balancers * UpstreamsOfEach;
-    std::size_t Read = PartsReading::LeastAtStart + 2 * List / ListPartCount;
+    std::size_t Read =
+        PartReadPlan::MinUpstreamsAtStart + 2 * List / ListPartCount;
     CHECK(S.served() <= Balancers * Read);
     CHECK(S.knowing(0.01) == Balancers); // all have some to open flows by
     S.fleet().run(4s);
@@ -215,10 +216,10 @@
 }
 
 TEST_CASE("a part is read until there are enough upstreams") {
-  PartsReading Short(7);
-  Short.read(PartsReading::LeastInPart - 1);
+  PartReadPlan Short(7);
+  Short.read(PartReadPlan::MinUpstreamsPerPart - 1);
   CHECK(Short.listIsShort());
-  PartsReading Long(7);
+  PartReadPlan Long(7);
   CHECK(Long.next() == 7);
   while (!Long.enough()) {
     Long.read(20);
@@ -226,7 +227,7 @@
   }
   CHECK(Long.parts().count() == 4);
   CHECK(Long.parts().test(7));
-  PartsReading Empty(0);
+  PartReadPlan Empty(0);
   Empty.read(0);
   CHECK(Empty.listIsShort());
 }
--- a/test/flow-fleet.cc
+++ b/test/flow-fleet.cc
@@ -11,7 +11,7 @@
 } // namespace
 
 FlowFleet::FlowFleet(std::size_t Balancers) : Balancers_(Balancers) {
-  News_ = std::make_unique<NewsFleet>(Balancers, 3, hooks());
+  News_ = std::make_unique<GossipFleet>(Balancers, 3, hooks());
   for (std::size_t Address = 0; Address < Addresses; ++Address)
     setRoute(Address, {service(Address % Services)});
   for (std::size_t Service = 0; Service < Services; ++Service)
--- a/test/flow-fleet.h
+++ b/test/flow-fleet.h
@@ -19,7 +19,7 @@
 
   explicit FlowFleet(std::size_t Balancers);
 
-  NewsFleet &news() { return *News_; }
+  GossipFleet &news() { return *News_; }
   void run(Micros For) { News_->run(RunTo_ += For); }
   void kill(std::size_t Which);
   void restart(std::size_t Which);
@@ -80,7 +80,7 @@
   std::vector<OpenFlow> Flows_;
   RoutingTable Table_;
   std::map<Endpoint, std::set<ServiceId>> EverAllowed_;
-  std::unique_ptr<NewsFleet> News_;
+  std::unique_ptr<GossipFleet> News_;
   Micros RunTo_{}; ///< In virtual time from the start.
   std::uint64_t LastUpstream_ = 1000;
   std::uint16_t LastPort_ = 1000;
--- a/test/intent-reader-test.cc
+++ b/test/intent-reader-test.cc
@@ -7,35 +7,35 @@
 
 namespace {
 
-using Kind = IntentCall::Kind;
-using Outcome = IntentAnswer::Outcome;
+using Kind = ConfigRequest::Kind;
+using Outcome = ConfigResponse::Outcome;
 
 MonoTime at(std::chrono::milliseconds Time) { return MonoTime(10s + Time); }
 
-IntentAnswer answer(Outcome What, Revision Through = 0) {
-  IntentAnswer Result;
+ConfigResponse answer(Outcome What, Revision Through = 0) {
+  ConfigResponse Result;
   Result.Outcome_ = What;
   Result.Batch_.Through_ = Through;
   return Result;
 }
 
 /// An answer that brings one change.
-IntentAnswer news(Revision Through) {
-  IntentAnswer Result = answer(Outcome::Done, Through);
+ConfigResponse news(Revision Through) {
+  ConfigResponse Result = answer(Outcome::Done, Through);
   Result.Batch_.Changes_.push_back({Incarnation{1}, Through, std::nullopt});
   return Result;
 }
 
 /// A stale list of so many upstreams.
-IntentAnswer staleList(std::size_t Upstreams) {
-  IntentAnswer Result = answer(Outcome::Stale);
+ConfigResponse staleList(std::size_t Upstreams) {
+  ConfigResponse Result = answer(Outcome::Stale);
   Result.Batch_.Changes_.resize(Upstreams);
   return Result;
 }
 
 /// A reader that has read the whole list at time 0, through revision 5.
-IntentReader started() {
-  IntentReader Reader(0);
+ConfigReader started() {
+  ConfigReader Reader(0);
   REQUIRE(Reader.next(at(-200ms), {}));
   Reader.answered(at(-100ms), answer(Outcome::Stale), 1);
   REQUIRE(Reader.next(at(0ms), {}));
@@ -46,7 +46,7 @@
 } // namespace
 
 TEST_CASE("a reader lists first and then watches from what it knows") {
-  IntentReader Reader(0);
+  ConfigReader Reader(0);
   REQUIRE(Reader.next(at(-200ms), {}));
   Reader.answered(at(-100ms), answer(Outcome::Stale), 1);
   auto First = Reader.next(at(0ms), {});
@@ -55,21 +55,21 @@
   CHECK_FALSE(Reader.next(at(1ms), {})); // one call at a time
   Reader.answered(at(4ms), news(7), 1);
   MonoTime Due = Reader.dueAt({});
-  CHECK(Due == at(4ms) + IntentReader::PauseAfterNews);
+  CHECK(Due == at(4ms) + ConfigReader::PauseAfterChange);
   auto Second = Reader.next(Due, {});
   REQUIRE(Second);
   CHECK(Second->Kind_ == Kind::Watch);
   CHECK(Second->After_ == 7);
-  CHECK(Second->WaitUntil_ == Due + IntentReader::WatchFor);
+  CHECK(Second->WaitUntil_ == Due + ConfigReader::WatchTimeout);
 }
 
 TEST_CASE(
     "history that is gone leads to one list, also if peers tell of what is "
     "known already") {
-  IntentReader Reader = started();
+  ConfigReader Reader = started();
   REQUIRE(Reader.next(at(10ms), {}));
   Reader.answered(at(14ms), answer(Outcome::HistoryGone), 1);
-  Reader.known(5); // as the process says before each call
+  Reader.noteRevision(5); // as the process says before each call
   auto Again = Reader.next(at(14ms), {});
   REQUIRE(Again);
   CHECK(Again->Kind_ == Kind::List);
@@ -80,10 +80,10 @@
 }
 
 TEST_CASE("news of peers after a loss of history is watched on from") {
-  IntentReader Reader = started();
+  ConfigReader Reader = started();
   REQUIRE(Reader.next(at(10ms), {}));
   Reader.answered(at(14ms), answer(Outcome::HistoryGone), 1);
-  Reader.known(9);
+  Reader.noteRevision(9);
   auto Next = Reader.next(at(14ms), {});
   REQUIRE(Next);
   CHECK(Next->Kind_ == Kind::Watch);
@@ -91,14 +91,14 @@
 }
 
 TEST_CASE("no call starts while others keep this process informed") {
-  IntentReader Reader = started();
+  ConfigReader Reader = started();
   CHECK_FALSE(Reader.next(at(10ms), at(500ms)));
   CHECK(Reader.dueAt(at(500ms)) == at(500ms));
   CHECK(Reader.next(at(500ms), at(500ms)));
 }
 
 TEST_CASE("a watch is complete at its end only if it waited without news") {
-  IntentReader Reader = started();
+  ConfigReader Reader = started();
   REQUIRE(Reader.next(at(10ms), {}));
   Reader.answered(at(516ms), answer(Outcome::Done, 5), 1);
   CHECK(Reader.completeAt() == at(510ms));
@@ -109,15 +109,15 @@
 
 TEST_CASE("a service that answers a watch at once without news is not asked "
           "without a pause") {
-  IntentReader Reader = started();
+  ConfigReader Reader = started();
   REQUIRE(Reader.next(at(10ms), {}));
   Reader.answered(at(14ms), answer(Outcome::Done, 5), 1);
-  CHECK(Reader.dueAt({}) == at(14ms) + IntentReader::PauseAfterNews);
+  CHECK(Reader.dueAt({}) == at(14ms) + ConfigReader::PauseAfterChange);
 }
 
 TEST_CASE("pauses after failures grow with the fleet and end with an answer") {
   for (std::size_t Fleet : {std::size_t{1}, std::size_t{90}}) {
-    IntentReader Reader(0.5);
+    ConfigReader Reader(0.5);
     MonoTime Now = at(0ms);
     Micros Longest{};
     for (int I = 0; I < 12; ++I) {
@@ -127,8 +127,8 @@
       Now = Reader.dueAt({});
     }
     Micros Shared = std::chrono::seconds(Fleet) / 8;
-    CHECK(Longest <= std::max(IntentReader::LongestPause, Shared));
-    CHECK(Longest >= std::max(IntentReader::LongestPause, Shared) / 2);
+    CHECK(Longest <= std::max(ConfigReader::MaxBackoff, Shared));
+    CHECK(Longest >= std::max(ConfigReader::MaxBackoff, Shared) / 2);
     REQUIRE(Reader.next(Now, {}));
     Reader.answered(Now, answer(Outcome::Done, 5), Fleet);
     CHECK(Reader.dueAt({}) == Now);
@@ -137,17 +137,17 @@
 
 TEST_CASE("a start takes a stale list, waits a moment for peers, then lists") {
   for (double Spread : {0.0, 0.99}) {
-    IntentReader Reader(Spread);
+    ConfigReader Reader(Spread);
     auto First = Reader.next(at(0ms), {});
     REQUIRE(First);
     CHECK(First->Kind_ == Kind::StaleList);
     Reader.answered(at(4ms), staleList(600), 1);
     MonoTime Due = Reader.dueAt({});
-    CHECK(Due >= at(4ms) + IntentReader::PeersTellWithin);
-    CHECK(Due <= at(4ms) + IntentReader::PeersTellWithin +
-                     IntentReader::PeersTellSpread);
+    CHECK(Due >= at(4ms) + ConfigReader::PeerUpdateWait);
+    CHECK(Due <= at(4ms) + ConfigReader::PeerUpdateWait +
+                     ConfigReader::PeerUpdateJitter);
     SUBCASE("a peer tells what is current") {
-      Reader.known(9);
+      Reader.noteRevision(9);
       auto Next = Reader.next(Due, {});
       REQUIRE(Next);
       CHECK(Next->Kind_ == Kind::Watch);
@@ -168,28 +168,28 @@
 
 TEST_CASE("the fewer upstreams, the sooner a start lists what is current") {
   for (std::size_t Upstreams : {1U, 18U, 150U, 600U, 67000U}) {
-    IntentReader Reader(0.5);
+    ConfigReader Reader(0.5);
     REQUIRE(Reader.next(at(0ms), {}));
     Reader.answered(at(4ms), staleList(Upstreams), 1);
     Micros Pause = Reader.dueAt({}) - at(4ms);
     CHECK(Pause <=
-          IntentReader::PeersTellWithin + IntentReader::PeersTellSpread / 2);
+          ConfigReader::PeerUpdateWait + ConfigReader::PeerUpdateJitter / 2);
     CHECK(Pause <= Upstreams * 2ms);
     CHECK(Pause >= std::min<Micros>(Upstreams * 1ms, 250ms));
   }
 }
 
 TEST_CASE("an empty list does not make a start hurry") {
-  IntentReader Reader(0.5);
+  ConfigReader Reader(0.5);
   REQUIRE(Reader.next(at(0ms), {}));
   Reader.answered(at(4ms), staleList(0), 1);
   CHECK(Reader.dueAt({}) - at(4ms) ==
-        IntentReader::PeersTellWithin + IntentReader::PeersTellSpread / 2);
+        ConfigReader::PeerUpdateWait + ConfigReader::PeerUpdateJitter / 2);
 }
 
 TEST_CASE("a service that has no stale lists is asked for a list") {
   for (Outcome What : {Outcome::Refused, Outcome::Failed}) {
-    IntentReader Reader(0);
+    ConfigReader Reader(0);
     std::vector<Kind> Asked;
     for (MonoTime Now = at(0ms); Asked.size() < 9; Now = Reader.dueAt({})) {
       auto Next = Reader.next(Now, {});
@@ -205,54 +205,54 @@
 }
 
 TEST_CASE("with parts of a long list a start leaves the rest to peers") {
-  IntentAnswer Parts = staleList(69);
+  ConfigResponse Parts = staleList(69);
   Parts.Parts_ = ListParts{}.set(3);
   for (double Spread : {0.0, 0.5, 0.99}) {
     CAPTURE(Spread);
-    IntentReader Reader(Spread);
+    ConfigReader Reader(Spread);
     REQUIRE(Reader.next(at(0ms), {}));
     Reader.answered(at(4ms), Parts, 1);
-    MonoTime First = at(4ms) + IntentReader::PartsTellWithin;
+    MonoTime First = at(4ms) + ConfigReader::PartsExchangeWait;
     CHECK(Reader.dueAt({}) >= First);
-    CHECK(Reader.dueAt({}) <= First + IntentReader::LongestTurn);
+    CHECK(Reader.dueAt({}) <= First + ConfigReader::MaxFleetJitter);
     SUBCASE("which end its waiting") {
-      Reader.known(9);
+      Reader.noteRevision(9);
       auto Next = Reader.next(Reader.dueAt({}), {});
       REQUIRE(Next);
       CHECK(Next->Kind_ == Kind::Watch);
     }
     SUBCASE("if there are any") {
-      Reader.noPeers(at(1500ms));
+      Reader.noPeersFound(at(1500ms));
       auto Next = Reader.next(at(1500ms), {});
       REQUIRE(Next);
       CHECK(Next->Kind_ == Kind::List);
     }
   }
-  IntentReader Seed(0.99, true);
+  ConfigReader Seed(0.99, true);
   REQUIRE(Seed.next(at(0ms), {}));
   Seed.answered(at(4ms), Parts, 1);
-  CHECK(Seed.dueAt({}) == at(4ms) + IntentReader::SeedReadsAfter);
+  CHECK(Seed.dueAt({}) == at(4ms) + ConfigReader::SeedListDelay);
 }
 
 TEST_CASE("no peers do not hurry a call that failed") {
-  IntentReader Reader(0);
+  ConfigReader Reader(0);
   REQUIRE(Reader.next(at(0ms), {}));
   Reader.answered(at(4ms), answer(Outcome::Failed), 1);
   MonoTime Due = Reader.dueAt({});
-  Reader.noPeers(at(10ms));
+  Reader.noPeersFound(at(10ms));
   CHECK(Reader.dueAt({}) == Due);
 }
 
 TEST_CASE("a large fleet that knows something takes turns after a failure") {
   auto PauseOf = [](double Spread, std::size_t Fleet) {
-    IntentReader Reader(Spread);
-    Reader.known(5);
+    ConfigReader Reader(Spread);
+    Reader.noteRevision(5);
     REQUIRE(Reader.next(at(0ms), {}));
     Reader.answered(at(0ms), answer(Outcome::Failed, 0), Fleet);
     return Reader.dueAt({}) - at(0ms);
   };
-  CHECK(PauseOf(0, 295) <= IntentReader::FirstPause);
-  CHECK(PauseOf(0.5, 295) == IntentReader::LongestTurn / 2);
+  CHECK(PauseOf(0, 295) <= ConfigReader::InitialBackoff);
+  CHECK(PauseOf(0.5, 295) == ConfigReader::MaxFleetJitter / 2);
   CHECK(PauseOf(0.5, 40) == 2500ms); // 8 calls a second
-  CHECK(PauseOf(0.99, 9) <= IntentReader::FirstPause);
+  CHECK(PauseOf(0.99, 9) <= ConfigReader::InitialBackoff);
 }
--- a/test/log-test.cc
+++ b/test/log-test.cc
@@ -46,12 +46,12 @@
   detail::ServiceLog Log([&](std::string_view Event, const LogFields &) {
     Events.emplace_back(Event);
   });
-  auto Answered = [&](std::chrono::seconds When, IntentAnswer::Outcome What) {
-    IntentAnswer A;
+  auto Answered = [&](std::chrono::seconds When, ConfigResponse::Outcome What) {
+    ConfigResponse A;
     A.Outcome_ = What;
     Log.answered(MonoTime(When), A);
   };
-  using Outcome = IntentAnswer::Outcome;
+  using Outcome = ConfigResponse::Outcome;
   using Lines = std::vector<std::string>;
   Answered(1s, Outcome::Done);
   Log.confirmed(MonoTime(1s));
--- a/test/member-list-test.cc
+++ b/test/member-list-test.cc
@@ -76,7 +76,7 @@
   Sample(std::size_t Count, std::size_t HeardOf) : List_("lb-self") {
     std::vector<std::uint64_t> Scores;
     for (std::size_t I = 0; I < Count; ++I)
-      Scores.push_back(readScore("lb-" + std::to_string(I)));
+      Scores.push_back(readerScore("lb-" + std::to_string(I)));
     Sorted_ = Scores;
     std::sort(Sorted_.begin(), Sorted_.end());
     std::uint64_t LastFirst = Sorted_[MemberList::FirstKnown - 1];
@@ -126,5 +126,5 @@
       Told.insert(M.Name_);
   CHECK(Told.size() == MemberList::FirstKnown);
   for (const std::string &Name : Told)
-    CHECK(readScore(Name) <= S.Sorted_[MemberList::FirstKnown - 1]);
+    CHECK(readerScore(Name) <= S.Sorted_[MemberList::FirstKnown - 1]);
 }
--- a/test/news-fleet.cc
+++ b/test/news-fleet.cc
@@ -17,7 +17,8 @@
 
 } // namespace
 
-NewsFleet::NewsFleet(std::size_t Count, std::size_t Halls, MemberHooks Beside)
+GossipFleet::GossipFleet(std::size_t Count, std::size_t Halls,
+                         MemberHooks Beside)
     : Nodes_(Count), Halls_(Halls), Beside_(std::move(Beside)) {
   Table_.Version_ = 1;
   for (int I = 0; I < 5; ++I)
@@ -26,13 +27,13 @@
     start(Which);
 }
 
-Member NewsFleet::member(std::size_t Which) const {
+Member GossipFleet::member(std::size_t Which) const {
   return {"lb-" + std::to_string(Which),
           "hall-" + std::to_string(Which % Halls_),
           Endpoint::v4(static_cast<std::uint32_t>(Which + 1), 8166), 0};
 }
 
-void NewsFleet::start(std::size_t Which) {
+void GossipFleet::start(std::size_t Which) {
   Node &N = Nodes_[Which];
   ++N.Life_;
   N.Alive_ = true;
@@ -44,17 +45,17 @@
   N.Held_.clear();
   if (Beside_.OnStart_)
     Beside_.OnStart_(Which);
-  NewsOptions Options{member(Which), {}};
+  GossipOptions Options{member(Which), {}};
   for (std::size_t Seed = 0; Seed < std::min<std::size_t>(3, size()); ++Seed)
     Options.Seeds_.push_back(member(Seed).Control_);
-  N.News_ = std::make_unique<NewsExchange>(Options, hooks(Which));
-  N.Reader_ = std::make_unique<IntentReader>(
+  N.News_ = std::make_unique<GossipNode>(Options, hooks(Which));
+  N.Reader_ = std::make_unique<ConfigReader>(
       static_cast<double>(Which) / static_cast<double>(Nodes_.size()),
       Which < Options.Seeds_.size());
   tick(Which);
 }
 
-Revision NewsFleet::publish() {
+Revision GossipFleet::publish() {
   Revision R = Log_.size() + 1;
   Incarnation Which{(R + 1) / 2};
   if (R % 2 == 0)
@@ -65,8 +66,8 @@
   return publish(Which, E);
 }
 
-Revision NewsFleet::publish(Incarnation Which,
-                            const std::optional<UpstreamEntry> &Entry) {
+Revision GossipFleet::publish(Incarnation Which,
+                              const std::optional<UpstreamEntry> &Entry) {
   Log_.push_back({Which, Log_.size() + 1, Entry});
   if (Entry)
     Log_.back().Entry_->Part_ =
@@ -75,16 +76,16 @@
   return Log_.size();
 }
 
-Revision NewsFleet::publishEvacuation(const std::string &DataHall,
-                                      bool Evacuated) {
+Revision GossipFleet::publishEvacuation(const std::string &DataHall,
+                                        bool Evacuated) {
   publish(Incarnation{0}, std::nullopt); // takes a revision
   HallLog_.push_back({DataHall, Log_.size(), Evacuated});
   return Log_.size();
 }
 
-Version NewsFleet::publishRouting() { return publishRouting(Table_); }
+Version GossipFleet::publishRouting() { return publishRouting(Table_); }
 
-Version NewsFleet::publishRouting(const RoutingTable &Table) {
+Version GossipFleet::publishRouting(const RoutingTable &Table) {
   publish(); // takes a revision, like every change
   RoutingAt_ = Log_.size();
   Version Next = Table_.Version_ + 1;
@@ -93,7 +94,7 @@
   return Next;
 }
 
-void NewsFleet::onNode(std::size_t Which, std::function<void()> Do) {
+void GossipFleet::onNode(std::size_t Which, std::function<void()> Do) {
   Node &N = Nodes_[Which];
   if (!N.Alive_)
     return;
@@ -103,7 +104,7 @@
     Do();
 }
 
-void NewsFleet::setAsleep(std::size_t Which, bool Asleep) {
+void GossipFleet::setAsleep(std::size_t Which, bool Asleep) {
   Node &N = Nodes_[Which];
   N.Asleep_ = Asleep;
   if (Asleep)
@@ -114,15 +115,15 @@
     Do();
 }
 
-void NewsFleet::setTurnedAway(std::size_t Which, bool TurnedAway) {
+void GossipFleet::setTurnedAway(std::size_t Which, bool TurnedAway) {
   Nodes_[Which].TurnedAway_ = TurnedAway;
 }
 
-void NewsFleet::setSilent(std::size_t Which, bool Silent) {
+void GossipFleet::setSilent(std::size_t Which, bool Silent) {
   Nodes_[Which].Silent_ = Silent;
 }
 
-void NewsFleet::setHeldUp(std::size_t A, std::size_t B, bool HeldUp) {
+void GossipFleet::setHeldUp(std::size_t A, std::size_t B, bool HeldUp) {
   for (auto Pair : {std::make_pair(A, B), std::make_pair(B, A)}) {
     if (HeldUp) {
       HeldUp_.insert(Pair);
@@ -135,7 +136,7 @@
   }
 }
 
-void NewsFleet::silenceConnections() {
+void GossipFleet::silenceConnections() {
   for (Node &N : Nodes_) {
     for (const auto &[Link, Peer] : N.Links_)
       N.SilentLinks_.insert(Link);
@@ -143,7 +144,7 @@
   }
 }
 
-void NewsFleet::kill(std::size_t Which) {
+void GossipFleet::kill(std::size_t Which) {
   Node &N = Nodes_[Which];
   N.Alive_ = false;
   auto Links = N.Links_;
@@ -151,12 +152,12 @@
     unlink(Which, Link);
 }
 
-void NewsFleet::restart(std::size_t Which) { start(Which); }
+void GossipFleet::restart(std::size_t Which) { start(Which); }
 
-NewsHooks NewsFleet::hooks(std::size_t Which) {
-  NewsHooks Hooks;
-  Hooks.Send_ = [this, Which](LinkId Link, const NewsMessage &M) {
-    deliver(Which, Link, encodeNews(M, Events_.now()));
+GossipHooks GossipFleet::hooks(std::size_t Which) {
+  GossipHooks Hooks;
+  Hooks.Send_ = [this, Which](LinkId Link, const GossipMessage &M) {
+    deliver(Which, Link, encodeGossip(M, Events_.now()));
   };
   Hooks.Connect_ = [this, Which](const Endpoint &To) { connect(Which, To); };
   Hooks.Close_ = [this, Which](LinkId Link) {
@@ -193,9 +194,9 @@
   Hooks.OnWarning_ = [this, Which](const UpstreamWarning &M) {
     Nodes_[Which].Warnings_.push_back(M);
   };
-  Hooks.OnArrival_ = [this, Which](MonoTime At) {
-    if (Beside_.OnArrival_)
-      Beside_.OnArrival_(Which, At);
+  Hooks.OnPeerJoined_ = [this, Which](MonoTime At) {
+    if (Beside_.OnPeerJoined_)
+      Beside_.OnPeerJoined_(Which, At);
   };
   Hooks.OnConfirmed_ = [this, Which](MonoTime AsOf) {
     noteClaim(Which, AsOf);
@@ -205,13 +206,13 @@
   return Hooks;
 }
 
-void NewsFleet::noteClaim(std::size_t Which, MonoTime AsOf) {
+void GossipFleet::noteClaim(std::size_t Which, MonoTime AsOf) {
   Revision Knows = Nodes_[Which].News_->through();
   if (Knows < PublishedAt_.size() && PublishedAt_[Knows] < AsOf)
     WorstClaim_ = std::max(WorstClaim_, AsOf - PublishedAt_[Knows]);
 }
 
-void NewsFleet::connect(std::size_t From, const Endpoint &Control) {
+void GossipFleet::connect(std::size_t From, const Endpoint &Control) {
   std::size_t To = Control.Address_[14] * 256U + Control.Address_[15] - 1U;
   std::uint64_t Life = Nodes_[From].Life_;
   Events_.after(2 * LinkDelay, [this, From, To, Control, Life] {
@@ -235,8 +236,8 @@
   });
 }
 
-void NewsFleet::deliver(std::size_t From, LinkId Link,
-                        const std::string &Bytes) {
+void GossipFleet::deliver(std::size_t From, LinkId Link,
+                          const std::string &Bytes) {
   auto Known = Nodes_[From].Links_.find(Link);
   if (Known == Nodes_[From].Links_.end())
     return;
@@ -246,10 +247,10 @@
   auto [To, Far] = Known->second;
   auto Arrive = [this, To = To, Far = Far, Bytes] {
     onNode(To, [=] {
-      NewsMessage M;
+      GossipMessage M;
       bool Open = Nodes_[To].Links_.count(Far) != 0;
-      if (Open && decodeNews(Bytes, Events_.now(), M) == ErrorKind::None) {
-        if (const auto *Told = std::get_if<News>(&M))
+      if (Open && decodeGossip(Bytes, Events_.now(), M) == ErrorKind::None) {
+        if (const auto *Told = std::get_if<StateUpdate>(&M))
           Nodes_[To].UpstreamsTold_ += Told->Upstreams_.Changes_.size();
         Nodes_[To].News_->received(Events_.now(), Far, M);
       }
@@ -262,7 +263,7 @@
     Events_.after(LinkDelay, Arrive);
 }
 
-void NewsFleet::unlink(std::size_t Which, LinkId Link) {
+void GossipFleet::unlink(std::size_t Which, LinkId Link) {
   auto Known = Nodes_[Which].Links_.find(Link);
   if (Known == Nodes_[Which].Links_.end())
     return;
@@ -278,7 +279,7 @@
   });
 }
 
-void NewsFleet::tick(std::size_t Which) {
+void GossipFleet::tick(std::size_t Which) {
   std::uint64_t Life = Nodes_[Which].Life_;
   onNode(Which, [=] {
     if (Nodes_[Which].Life_ != Life)
@@ -291,20 +292,20 @@
   });
 }
 
-void NewsFleet::review(std::size_t Which) {
+void GossipFleet::review(std::size_t Which) {
   Node &N = Nodes_[Which];
-  N.Reader_->known(N.News_->through());
-  auto Call = N.Reader_->next(Events_.now(), N.News_->readFrom());
+  N.Reader_->noteRevision(N.News_->through());
+  auto Call = N.Reader_->next(Events_.now(), N.News_->nextReadAt());
   if (Call) {
-    if (Call->Kind_ == IntentCall::Kind::List)
-      N.News_->readingList(Events_.now());
-    ++(Call->Kind_ == IntentCall::Kind::StaleList ? StaleCalls_ : Calls_);
+    if (Call->Kind_ == ConfigRequest::Kind::List)
+      N.News_->listReadStarted(Events_.now());
+    ++(Call->Kind_ == ConfigRequest::Kind::StaleList ? StaleCalls_ : Calls_);
     LastReader_ = Which;
     serve(Which, *Call, Events_.now());
     return;
   }
   // A call that is due before the next tick.
-  MonoTime Due = N.Reader_->dueAt(N.News_->readFrom());
+  MonoTime Due = N.Reader_->dueAt(N.News_->nextReadAt());
   if (Due > Events_.now() && Due < Events_.now() + TickEvery)
     Events_.after(Due - Events_.now(), [=, Life = N.Life_] {
       if (Nodes_[Which].Life_ == Life)
@@ -312,10 +313,10 @@
     });
 }
 
-void NewsFleet::serve(std::size_t Which, const IntentCall &Call,
-                      MonoTime Began) {
+void GossipFleet::serve(std::size_t Which, const ConfigRequest &Call,
+                        MonoTime Began) {
   std::uint64_t Life = Nodes_[Which].Life_;
-  auto Answer = [=](Micros Delay, const IntentAnswer &A) {
+  auto Answer = [=](Micros Delay, const ConfigResponse &A) {
     Events_.after(Delay, [=] {
       if (Nodes_[Which].Life_ != Life)
         return;
@@ -329,21 +330,21 @@
   if (Nodes_[Which].Silent_ || GoneSilent)
     return Answer(Call.GiveUpAt_ - Events_.now(), {});
   if (Nodes_[Which].TurnedAway_ || ServiceDown_) {
-    IntentAnswer Refused;
-    Refused.Outcome_ = IntentAnswer::Outcome::Refused;
+    ConfigResponse Refused;
+    Refused.Outcome_ = ConfigResponse::Outcome::Refused;
     return Answer(ServiceDelay, Refused);
   }
-  if (Call.Kind_ == IntentCall::Kind::Watch && Call.After_ < HistoryFrom_) {
-    IntentAnswer Gone;
-    Gone.Outcome_ = IntentAnswer::Outcome::HistoryGone;
+  if (Call.Kind_ == ConfigRequest::Kind::Watch && Call.After_ < HistoryFrom_) {
+    ConfigResponse Gone;
+    Gone.Outcome_ = ConfigResponse::Outcome::HistoryGone;
     return Answer(ServiceDelay, Gone);
   }
-  bool News =
-      Call.Kind_ != IntentCall::Kind::Watch || Log_.size() > Call.After_;
-  if (News || Events_.now() >= Call.WaitUntil_) {
-    IntentAnswer A = answerNow(Call);
+  bool HasChanges =
+      Call.Kind_ != ConfigRequest::Kind::Watch || Log_.size() > Call.After_;
+  if (HasChanges || Events_.now() >= Call.WaitUntil_) {
+    ConfigResponse A = answerNow(Call);
     UpstreamsServed_ += A.Batch_.Changes_.size();
-    bool Whole = Call.Kind_ == IntentCall::Kind::List;
+    bool Whole = Call.Kind_ == ConfigRequest::Kind::List;
     return Answer(ServiceDelay + (Whole ? ListTakes_ : Micros(0)), A);
   }
   Events_.after(WatchLook, [=] {
@@ -352,13 +353,13 @@
   });
 }
 
-IntentAnswer NewsFleet::answerNow(const IntentCall &Call) const {
-  IntentAnswer A;
-  A.Outcome_ = IntentAnswer::Outcome::Done;
-  A.Batch_.Whole_ = Call.Kind_ != IntentCall::Kind::Watch;
+ConfigResponse GossipFleet::answerNow(const ConfigRequest &Call) const {
+  ConfigResponse A;
+  A.Outcome_ = ConfigResponse::Outcome::Done;
+  A.Batch_.Whole_ = Call.Kind_ != ConfigRequest::Kind::Watch;
   A.Batch_.After_ = Call.After_;
   A.Batch_.Through_ = Log_.size();
-  bool Stale = Call.Kind_ == IntentCall::Kind::StaleList;
+  bool Stale = Call.Kind_ == ConfigRequest::Kind::StaleList;
   std::size_t End = Log_.size();
   while (Stale && End > 0 && PublishedAt_[End - 1] > Events_.now() - StaleBy_)
     --End;
@@ -373,7 +374,7 @@
   }
   A.Evacuations_ = evacuationsNow(Call, End);
   if (Stale) {
-    A.Outcome_ = IntentAnswer::Outcome::Stale;
+    A.Outcome_ = ConfigResponse::Outcome::Stale;
     A.Batch_.Whole_ = false;
     A.Batch_.Through_ = 0;
     A.Evacuations_.Whole_ = false;
@@ -384,11 +385,12 @@
 }
 
 /// Of a long stale list only the parts that a start reads.
-void NewsFleet::keepParts(const IntentCall &Call, IntentAnswer &A) const {
+void GossipFleet::keepParts(const ConfigRequest &Call,
+                            ConfigResponse &A) const {
   std::array<std::size_t, ListPartCount> Sizes{};
   for (const UpstreamChange &Change : A.Batch_.Changes_)
     ++Sizes[Change.Entry_->Part_];
-  PartsReading Reading(Call.FirstPart_);
+  PartReadPlan Reading(Call.FirstPart_);
   do
     Reading.read(Sizes[Reading.next()]);
   while (!Reading.listIsShort() && !Reading.enough());
@@ -403,10 +405,10 @@
                 Changes.end());
 }
 
-EvacuationBatch NewsFleet::evacuationsNow(const IntentCall &Call,
-                                          Revision End) const {
+EvacuationBatch GossipFleet::evacuationsNow(const ConfigRequest &Call,
+                                            Revision End) const {
   EvacuationBatch Batch;
-  Batch.Whole_ = Call.Kind_ != IntentCall::Kind::Watch;
+  Batch.Whole_ = Call.Kind_ != ConfigRequest::Kind::Watch;
   Batch.Through_ = End;
   std::map<std::string, EvacuationChange> Last;
   for (const EvacuationChange &Change : HallLog_)
@@ -418,24 +420,24 @@
   return Batch;
 }
 
-void NewsFleet::take(std::size_t Which, const IntentAnswer &A) {
+void GossipFleet::take(std::size_t Which, const ConfigResponse &A) {
   Node &N = Nodes_[Which];
   N.Reader_->answered(Events_.now(), A, N.News_->fleetSize());
-  if (A.Outcome_ == IntentAnswer::Outcome::Stale)
-    N.News_->readStale(Events_.now(), A);
-  else if (A.Outcome_ != IntentAnswer::Outcome::Done)
+  if (A.Outcome_ == ConfigResponse::Outcome::Stale)
+    N.News_->staleListRead(Events_.now(), A);
+  else if (A.Outcome_ != ConfigResponse::Outcome::Done)
     N.News_->readFailed();
-  else if (!N.News_->readDone(Events_.now(), A, N.Reader_->completeAt()))
-    N.Reader_->listAgain();
+  else if (!N.News_->readSucceeded(Events_.now(), A, N.Reader_->completeAt()))
+    N.Reader_->requestList();
 }
 
-bool NewsFleet::allEvacuated(const std::set<std::string> &Halls) const {
+bool GossipFleet::allEvacuated(const std::set<std::string> &Halls) const {
   return std::all_of(Nodes_.begin(), Nodes_.end(), [&Halls](const Node &N) {
     return !N.Alive_ || N.Evacuated_ == Halls;
   });
 }
 
-bool NewsFleet::allKnow(Revision R) const {
+bool GossipFleet::allKnow(Revision R) const {
   for (const Node &N : Nodes_)
     if (N.Alive_ && N.News_->through() < R)
       return false;
--- a/test/news-fleet.h
+++ b/test/news-fleet.h
@@ -25,13 +25,13 @@
   std::function<void(std::size_t Which, const std::vector<EvacuationChange> &)>
       OnEvacuations_;
   std::function<void(std::size_t Which, MonoTime AsOf)> OnConfirmed_;
-  std::function<void(std::size_t Which, MonoTime At)> OnArrival_;
+  std::function<void(std::size_t Which, MonoTime At)> OnPeerJoined_;
 };
 
-class NewsFleet {
+class GossipFleet {
 public:
-  explicit NewsFleet(std::size_t Count, std::size_t Halls = 3,
-                     MemberHooks Beside = {});
+  explicit GossipFleet(std::size_t Count, std::size_t Halls = 3,
+                       MemberHooks Beside = {});
 
   /// Runs to \p Until, in virtual time from the start.
   void run(Micros Until) { Events_.run(Until); }
@@ -89,7 +89,7 @@
   std::size_t size() const { return Nodes_.size(); }
   /// Calls but those for stale lists.
   std::size_t calls() const { return Calls_; }
-  NewsExchange &news(std::size_t Which) { return *Nodes_[Which].News_; }
+  GossipNode &news(std::size_t Which) { return *Nodes_[Which].News_; }
   /// Warnings that a member had from peers.
   const std::vector<UpstreamWarning> &warnings(std::size_t Which) const {
     return Nodes_[Which].Warnings_;
@@ -112,8 +112,8 @@
 
 private:
   struct Node {
-    std::unique_ptr<NewsExchange> News_;
-    std::unique_ptr<IntentReader> Reader_;
+    std::unique_ptr<GossipNode> News_;
+    std::unique_ptr<ConfigReader> Reader_;
     std::map<LinkId, std::pair<std::size_t, LinkId>> Links_;
     std::set<LinkId> SilentLinks_;
     MonoTime CallsSilentFrom_{}; ///< Calls begun before it get no answer.
@@ -135,17 +135,17 @@
   void start(std::size_t Which);
   /// Does it on behalf of a member: later if it sleeps, never if it restarts.
   void onNode(std::size_t Which, std::function<void()> Do);
-  NewsHooks hooks(std::size_t Which);
+  GossipHooks hooks(std::size_t Which);
   void connect(std::size_t From, const Endpoint &To);
   void deliver(std::size_t From, LinkId Link, const std::string &Bytes);
   void unlink(std::size_t Which, LinkId Link);
   void review(std::size_t Which);
   void tick(std::size_t Which);
-  void serve(std::size_t Which, const IntentCall &Call, MonoTime Began);
-  IntentAnswer answerNow(const IntentCall &Call) const;
-  EvacuationBatch evacuationsNow(const IntentCall &Call, Revision End) const;
-  void keepParts(const IntentCall &Call, IntentAnswer &A) const;
-  void take(std::size_t Which, const IntentAnswer &A);
+  void serve(std::size_t Which, const ConfigRequest &Call, MonoTime Began);
+  ConfigResponse answerNow(const ConfigRequest &Call) const;
+  EvacuationBatch evacuationsNow(const ConfigRequest &Call, Revision End) const;
+  void keepParts(const ConfigRequest &Call, ConfigResponse &A) const;
+  void take(std::size_t Which, const ConfigResponse &A);
   void noteClaim(std::size_t Which, MonoTime AsOf);
 
   std::vector<Node> Nodes_;
--- a/test/news-start-test.cc
+++ b/test/news-start-test.cc
@@ -11,7 +11,7 @@
 namespace {
 
 /// Publishes so many upstreams, which stale lists have from the next second on.
-void publishMany(NewsFleet &Fleet, std::uint64_t Count) {
+void publishMany(GossipFleet &Fleet, std::uint64_t Count) {
   for (std::uint64_t I = 1; I <= Count; ++I) {
     UpstreamEntry E;
     E.Incarnation_ = Incarnation{1000 + I};
@@ -22,7 +22,7 @@
 }
 
 /// A fleet that has lost everything it knew, and starts at 5 s.
-void startAnew(NewsFleet &Fleet) {
+void startAnew(GossipFleet &Fleet) {
   publishMany(Fleet, 600);
   for (std::size_t Which = 0; Which < Fleet.size(); ++Which)
     Fleet.kill(Which);
@@ -36,7 +36,7 @@
 
 TEST_CASE(
     "a start in a running fleet takes a stale list, and peers tell the rest") {
-  NewsFleet Fleet(90, 5);
+  GossipFleet Fleet(90, 5);
   publishMany(Fleet, 600);
   Fleet.run(8s);
   std::size_t Reader = Fleet.lastReader();
@@ -62,7 +62,7 @@
 }
 
 TEST_CASE("of a fleet that starts at once, few read more than a stale list") {
-  NewsFleet Fleet(90, 5);
+  GossipFleet Fleet(90, 5);
   startAnew(Fleet);
   std::size_t Before = Fleet.calls();
   Fleet.run(5s + 600ms);
@@ -76,10 +76,10 @@
 TEST_CASE("peers hear that a balancer has started or slept, and others not") {
   std::map<std::size_t, MonoTime> ArrivedAt;
   MemberHooks Hooks;
-  Hooks.OnArrival_ = [&](std::size_t Which, MonoTime At) {
+  Hooks.OnPeerJoined_ = [&](std::size_t Which, MonoTime At) {
     ArrivedAt[Which] = At;
   };
-  NewsFleet Fleet(8, 3, Hooks);
+  GossipFleet Fleet(8, 3, Hooks);
   Fleet.run(8s);
   ArrivedAt.clear();
   Fleet.run(15s);
@@ -107,7 +107,7 @@
 }
 
 TEST_CASE("without peers a start knows what is current within 1.1 s") {
-  NewsFleet Fleet(1);
+  GossipFleet Fleet(1);
   startAnew(Fleet);
   Fleet.run(5s + 1100ms);
   CHECK(Fleet.allKnow(606));
@@ -115,7 +115,7 @@
 
 TEST_CASE("an outage costs a large fleet few calls, and its end is noticed") {
   for (bool Silent : {true, false}) {
-    NewsFleet Fleet(90, 5);
+    GossipFleet Fleet(90, 5);
     Fleet.run(8s);
     std::size_t Before = Fleet.calls();
     auto SetAway = [&](bool Away) {
--- a/test/news-test.cc
+++ b/test/news-test.cc
@@ -10,7 +10,7 @@
 namespace {
 
 /// Time until everybody knows what is published now; at most \p Limit.
-Micros spread(NewsFleet &Fleet, Micros Limit) {
+Micros spread(GossipFleet &Fleet, Micros Limit) {
   Revision R = Fleet.publish();
   Micros Start = Fleet.now() - 100s;
   for (Micros Waited = 0ms; Waited < Limit; Waited += 10ms) {
@@ -25,7 +25,7 @@
 
 TEST_CASE("one member reads for all, and news is everywhere within a second") {
   for (std::size_t Size : {std::size_t{1}, std::size_t{8}, std::size_t{90}}) {
-    NewsFleet Fleet(Size);
+    GossipFleet Fleet(Size);
     Fleet.run(5s);
     std::size_t Before = Fleet.calls();
     Fleet.run(15s);
@@ -39,14 +39,14 @@
 }
 
 TEST_CASE("the reader's place is taken over, whatever happens to it") {
-  using Trouble = void (*)(NewsFleet &, std::size_t);
+  using Trouble = void (*)(GossipFleet &, std::size_t);
   const Trouble Troubles[] = {
-      [](NewsFleet &F, std::size_t I) { F.kill(I); },
-      [](NewsFleet &F, std::size_t I) { F.setTurnedAway(I, true); },
-      [](NewsFleet &F, std::size_t I) { F.setSilent(I, true); },
+      [](GossipFleet &F, std::size_t I) { F.kill(I); },
+      [](GossipFleet &F, std::size_t I) { F.setTurnedAway(I, true); },
+      [](GossipFleet &F, std::size_t I) { F.setSilent(I, true); },
   };
   for (Trouble Strike : Troubles) {
-    NewsFleet Fleet(8);
+    GossipFleet Fleet(8);
     Fleet.run(5s);
     Strike(Fleet, Fleet.lastReader());
     Fleet.run(5s + 50ms);
@@ -58,7 +58,7 @@
 }
 
 TEST_CASE("a reader that sleeps is replaced and catches up when it wakes") {
-  NewsFleet Fleet(8);
+  GossipFleet Fleet(8);
   Fleet.run(5s);
   std::size_t Sleeper = Fleet.lastReader();
   Fleet.setAsleep(Sleeper, true);
@@ -74,7 +74,7 @@
 
 TEST_CASE(
     "a third of a large fleet turned away hears everything from the rest") {
-  NewsFleet Fleet(90, 5);
+  GossipFleet Fleet(90, 5);
   for (std::size_t I = 0; I < 90; I += 3)
     Fleet.setTurnedAway(I, true);
   Fleet.run(8s);
@@ -89,7 +89,7 @@
 }
 
 TEST_CASE("a newcomer whose calls fail takes everything from peers") {
-  NewsFleet Fleet(8);
+  GossipFleet Fleet(8);
   Fleet.run(5s);
   Fleet.kill(5);
   Fleet.run(6s);
@@ -101,7 +101,7 @@
 }
 
 TEST_CASE("a member cut off from all peers reads for itself") {
-  NewsFleet Fleet(8);
+  GossipFleet Fleet(8);
   Fleet.run(5s);
   std::size_t Alone = (Fleet.lastReader() + 1) % 8;
   for (std::size_t I = 0; I < 8; ++I)
@@ -112,7 +112,7 @@
 }
 
 TEST_CASE("an outage is noticed by all, and its end within two seconds") {
-  NewsFleet Fleet(8);
+  GossipFleet Fleet(8);
   Fleet.run(5s);
   Fleet.setServiceDown(true);
   Fleet.run(8s);
@@ -132,7 +132,7 @@
 
 TEST_CASE("what was held up does not make knowledge look recent") {
   rc::check([] {
-    NewsFleet Fleet(6);
+    GossipFleet Fleet(6);
     Fleet.run(3s);
     Micros Time = 3s;
     for (int Step = 0; Step < 15; ++Step) {
@@ -161,8 +161,8 @@
       Time += std::chrono::milliseconds(*rc::gen::inRange(1, 1500));
       Fleet.run(Time);
     }
-    // Claims are taken only if made within `ClaimWithin`, hop by hop.
-    RC_ASSERT(Fleet.worstClaim() <= NewsExchange::ClaimWithin);
+    // Claims are taken only if made within `MaxEchoAge`, hop by hop.
+    RC_ASSERT(Fleet.worstClaim() <= GossipNode::MaxEchoAge);
     for (std::size_t I = 0; I < 6; ++I) {
       Fleet.setAsleep(I, false);
       Fleet.setTurnedAway(I, false);
@@ -177,7 +177,7 @@
 
 TEST_CASE("a warning of an upstream reaches every member once") {
   for (std::size_t Size : {std::size_t{8}, std::size_t{90}}) {
-    NewsFleet Fleet(Size);
+    GossipFleet Fleet(Size);
     Fleet.run(5s);
     UpstreamWarning Dead{Incarnation{7}, UpstreamWarning::Kind::Dead};
     Fleet.news(3).warn(Fleet.clock(), Dead);
@@ -195,40 +195,40 @@
 }
 
 TEST_CASE("warnings in a moment are bounded") {
-  NewsFleet Fleet(8);
+  GossipFleet Fleet(8);
   Fleet.run(5s);
-  for (std::uint64_t I = 1; I <= 2 * NewsExchange::MaxWarnings; ++I)
+  for (std::uint64_t I = 1; I <= 2 * GossipNode::MaxWarningsPerInterval; ++I)
     Fleet.news(0).warn(Fleet.clock(),
                        {Incarnation{I}, UpstreamWarning::Kind::Stalled});
   Fleet.run(5s + 100ms);
-  CHECK(Fleet.warnings(1).size() == NewsExchange::MaxWarnings);
+  CHECK(Fleet.warnings(1).size() == GossipNode::MaxWarningsPerInterval);
 }
 
 TEST_CASE("a warning survives its codec, and one of an unknown kind does not") {
   using Kind = UpstreamWarning::Kind;
-  NewsMessage Out;
+  GossipMessage Out;
   std::string Bytes;
   for (Kind Which : {Kind::Dead, Kind::Stalled, Kind::Failing}) {
     UpstreamWarning Warning{Incarnation{~std::uint64_t{0}}, Which};
-    Bytes = encodeNews(Warning, MonoTime{});
-    REQUIRE(decodeNews(Bytes, MonoTime{}, Out) == ErrorKind::None);
+    Bytes = encodeGossip(Warning, MonoTime{});
+    REQUIRE(decodeGossip(Bytes, MonoTime{}, Out) == ErrorKind::None);
     CHECK(std::get<UpstreamWarning>(Out) == Warning);
   }
   Bytes.back() = raw(Kind::Failing) + 1;
-  CHECK(decodeNews(Bytes, MonoTime{}, Out) == ErrorKind::Malformed);
+  CHECK(decodeGossip(Bytes, MonoTime{}, Out) == ErrorKind::Malformed);
 }
 
 TEST_CASE("evacuated halls and limits of cold upstreams survive their codec") {
   auto Table = std::make_shared<RoutingTable>();
   Table->Version_ = 3;
   Table->ColdPerSecond_[7] = 2.5;
-  News Told;
+  StateUpdate Told;
   Told.Routing_ = Table;
   Told.Evacuations_ = {true, 9, {{"hall-a", 4, true}, {"hall-b", 9, true}}};
-  NewsMessage Out;
-  REQUIRE(decodeNews(encodeNews(Told, MonoTime{}), MonoTime{}, Out) ==
+  GossipMessage Out;
+  REQUIRE(decodeGossip(encodeGossip(Told, MonoTime{}), MonoTime{}, Out) ==
           ErrorKind::None);
-  const News &Heard = std::get<News>(Out);
+  const StateUpdate &Heard = std::get<StateUpdate>(Out);
   CHECK(Heard.Routing_->coldPerSecond(ServiceId{7}) == 2.5);
   CHECK(Heard.Evacuations_.Whole_);
   CHECK(Heard.Evacuations_.Through_ == 9);
@@ -241,7 +241,7 @@
   Table->Version_ = 7;
   Table->Addresses_[Endpoint::v4(1, 2)] = {{ServiceId{3}, 4}};
   Table->ServiceNames_[nameId("index")] = "index";
-  News M;
+  StateUpdate M;
   M.Routing_ = Table;
   M.Upstreams_ = {
       false, 5, 9, {{Incarnation{1}, 6, std::nullopt}}, {Incarnation{4}}};
@@ -265,10 +265,10 @@
   M.Upstreams_.Same_.set(7);
   M.Parts_.set(255);
   M.Upstreams_.Ended_.push_back({E.Incarnation_, 8, E, true});
-  NewsMessage Out;
-  std::string Bytes = encodeNews(M, Now);
-  REQUIRE(decodeNews(Bytes, Now, Out) == ErrorKind::None);
-  const News &Got = std::get<News>(Out);
+  GossipMessage Out;
+  std::string Bytes = encodeGossip(M, Now);
+  REQUIRE(decodeGossip(Bytes, Now, Out) == ErrorKind::None);
+  const StateUpdate &Got = std::get<StateUpdate>(Out);
   CHECK(Got.Routing_->Version_ == 7);
   CHECK(*Got.Routing_->find(Endpoint::v4(1, 2)) ==
         std::vector<ServiceShare>{{ServiceId{3}, 4}});
@@ -290,19 +290,19 @@
     Damaged[Cut] = *rc::gen::arbitrary<char>();
     if (*rc::gen::arbitrary<bool>())
       Damaged.resize(Cut);
-    NewsMessage Ignored;
-    ErrorKind Kind = decodeNews(Damaged, Now, Ignored);
+    GossipMessage Ignored;
+    ErrorKind Kind = decodeGossip(Damaged, Now, Ignored);
     RC_ASSERT(Kind == ErrorKind::None || Kind == ErrorKind::Malformed);
   });
 }
 
 TEST_CASE("the living of a data hall that is mostly dead know it, and no one "
           "else thinks so") {
-  NewsFleet Fleet(9); // halls 0, 1, 2: members 0 3 6, 1 4 7, 2 5 8
+  GossipFleet Fleet(9); // halls 0, 1, 2: members 0 3 6, 1 4 7, 2 5 8
   auto Lost = [&] {
     std::vector<std::size_t> Who;
     for (std::size_t I = 0; I < Fleet.size(); ++I)
-      if (Fleet.news(I).hallIsLost(Fleet.clock()))
+      if (Fleet.news(I).isDataHallLost(Fleet.clock()))
         Who.push_back(I);
     return Who;
   };
@@ -323,27 +323,27 @@
 }
 
 TEST_CASE("without a data hall that is well nobody leaves callers to others") {
-  auto Nobody = [](NewsFleet &Fleet, Micros Until) {
+  auto Nobody = [](GossipFleet &Fleet, Micros Until) {
     for (Micros Time = 6s; Time < Until; Time += 50ms) {
       Fleet.run(Time);
       for (std::size_t I = 0; I < Fleet.size(); ++I)
-        if (Fleet.news(I).hallIsLost(Fleet.clock()))
+        if (Fleet.news(I).isDataHallLost(Fleet.clock()))
           return false;
     }
     return true;
   };
-  NewsFleet Killed(9);
+  GossipFleet Killed(9);
   Killed.run(6s);
   for (std::size_t I = 0; I < 6; ++I) // one in each hall is left
     Killed.kill(I);
   CHECK(Nobody(Killed, 12s));
-  NewsFleet CutOff(9);
+  GossipFleet CutOff(9);
   CutOff.run(6s);
   for (std::size_t I = 1; I < 9; ++I)
     CutOff.setHeldUp(0, I, true);
   CHECK(Nobody(CutOff, 12s));
   // Too many for silence to mean anything, whatever becomes of them.
-  NewsFleet Large(30);
+  GossipFleet Large(30);
   Large.run(6s);
   for (std::size_t I = 0; I < 24; ++I)
     Large.kill(I);
@@ -354,7 +354,7 @@
   // Whichever moment of a watch or of a heartbeat it strikes, twice.
   for (Micros Offset = 0ms; Offset < 1000ms; Offset += 90ms) {
     for (std::size_t Size : {std::size_t{2}, std::size_t{9}}) {
-      NewsFleet Fleet(Size);
+      GossipFleet Fleet(Size);
       Fleet.run(6s + Offset);
       Fleet.silenceConnections();
       CHECK(spread(Fleet, 4s) <= 2500ms);
@@ -371,7 +371,7 @@
 
 TEST_CASE("connections that go silent while the reader is taken over") {
   for (Micros Offset = 0ms; Offset < 2000ms; Offset += 190ms) {
-    NewsFleet Fleet(9);
+    GossipFleet Fleet(9);
     Fleet.run(6s);
     Fleet.setTurnedAway(Fleet.lastReader(), true);
     Fleet.run(6s + Offset);
--- a/test/packet-pages-test.cc
+++ b/test/packet-pages-test.cc
@@ -53,7 +53,7 @@
   CHECK(Page.Body_.find("thymewall_delay_seconds") != std::string::npos);
   R.Report_.Traffic_.sent(UpstreamWarning{}, 24);
   R.Report_.Traffic_.sent(UpstreamWarning{}, 24);
-  R.Report_.Traffic_.received(News{}, 5000);
+  R.Report_.Traffic_.received(StateUpdate{}, 5000);
   Page = packetPage(R.Report_, "/metrics");
   for (const char *Line : {"thymewall_peer_messages_warning_sent 2\n",
                            "thymewall_peer_bytes_warning_sent 48\n",
--- a/test/parts-exchange-test.cc
+++ b/test/parts-exchange-test.cc
@@ -33,11 +33,11 @@
   AlmostAll() : News_({member(0), {}}, hooks()) {
     for (std::uint64_t Peer = 1; Peer <= 3; ++Peer)
       News_.opened(at(0ms), LinkId{Peer}, false);
-    IntentAnswer Stale;
-    Stale.Outcome_ = IntentAnswer::Outcome::Stale;
+    ConfigResponse Stale;
+    Stale.Outcome_ = ConfigResponse::Outcome::Stale;
     Stale.Batch_.Changes_ = {listed(5, 1)};
     Stale.Parts_ = allParts().reset(Missing);
-    News_.readStale(at(1ms), Stale);
+    News_.staleListRead(at(1ms), Stale);
   }
 
   /// Of a peer that has this part, or knows everything through a revision.
@@ -46,13 +46,13 @@
     M.Sender_ = member(Peer);
     M.Through_ = Through;
     M.Parts_ = Parts;
-    M.Listed_ = 2;
+    M.UpstreamCount_ = 2;
     News_.received(at(10ms), LinkId{Peer}, M);
   }
 
   /// An answer with the missing part, which names one upstream.
   void part(std::uint64_t Peer, std::uint64_t Id) {
-    News M;
+    StateUpdate M;
     M.Parts_.set(Missing);
     M.Upstreams_.Changes_ = {listed(Id, Missing)};
     News_.received(at(20ms), LinkId{Peer}, M);
@@ -60,22 +60,22 @@
 
   /// An answer that finds no difference, through a revision.
   void same(std::uint64_t Peer, Revision Through) {
-    News M;
+    StateUpdate M;
     M.Upstreams_.Whole_ = true;
     M.Upstreams_.Through_ = Through;
     M.Upstreams_.Same_ = allParts();
     News_.received(at(30ms), LinkId{Peer}, M);
   }
 
-  NewsExchange News_;
+  GossipNode News_;
   std::set<std::uint64_t> Listed_;
-  std::vector<NewsWanted> Asked_;
+  std::vector<StateRequest> Asked_;
 
 private:
-  NewsHooks hooks() {
-    NewsHooks Hooks;
-    Hooks.Send_ = [this](LinkId, const NewsMessage &M) {
-      if (const auto *Wanted = std::get_if<NewsWanted>(&M))
+  GossipHooks hooks() {
+    GossipHooks Hooks;
+    Hooks.Send_ = [this](LinkId, const GossipMessage &M) {
+      if (const auto *Wanted = std::get_if<StateRequest>(&M))
         Asked_.push_back(*Wanted);
     };
     Hooks.Connect_ = [](const Endpoint &) {};
@@ -108,10 +108,10 @@
     S.part(3, 72);
   }
   SUBCASE("from a stale list that comes late") {
-    IntentAnswer Late;
-    Late.Outcome_ = IntentAnswer::Outcome::Stale;
+    ConfigResponse Late;
+    Late.Outcome_ = ConfigResponse::Outcome::Stale;
     Late.Batch_.Changes_ = {listed(72, AlmostAll::Missing)};
-    S.News_.readStale(at(25ms), Late);
+    S.News_.staleListRead(at(25ms), Late);
   }
   S.same(2, 80);
   CHECK(S.News_.through() == 80);
--- a/test/reading-turn-test.cc
+++ b/test/reading-turn-test.cc
@@ -19,7 +19,7 @@
 }
 
 std::uint64_t score(std::size_t Which) {
-  return detail::readScore(member(Which).Name_);
+  return detail::readerScore(member(Which).Name_);
 }
 
 /// The last but one in the order of 200 balancers, linked to the last one, by
@@ -27,15 +27,15 @@
 class LateInOrder {
 public:
   LateInOrder() : Order_(order()) {
-    News_ = std::make_unique<NewsExchange>(
-        NewsOptions{member(Order_[Fleet - 2]), {}}, hooks());
+    News_ = std::make_unique<GossipNode>(
+        GossipOptions{member(Order_[Fleet - 2]), {}}, hooks());
     News_->tick(at(0s));
     News_->opened(at(0s), LinkId{1}, false);
-    IntentAnswer List;
-    List.Outcome_ = IntentAnswer::Outcome::Done;
+    ConfigResponse List;
+    List.Outcome_ = ConfigResponse::Outcome::Done;
     List.Batch_.Whole_ = true;
     List.Batch_.Through_ = 5;
-    News_->readDone(at(0s), List, at(0s));
+    News_->readSucceeded(at(0s), List, at(0s));
   }
 
   /// A heartbeat of the peer, which knows as much as is known up to \\p Known
@@ -44,19 +44,19 @@
     PeerHeartbeat M;
     M.Sender_ = member(Order_.back());
     M.Through_ = 5;
-    M.KnownAgeMs_ = millis(Now - Known);
-    M.Reader_ = score(Order_.front());
+    M.StateAgeMs_ = millis(Now - Known);
+    M.ReaderScore_ = score(Order_.front());
     M.ReaderAgeMs_ = millis(Now - Known);
-    M.Living_ = score(Order_.front());
-    M.LivingAgeMs_ = millis(Now - Living);
+    M.FirstAliveScore_ = score(Order_.front());
+    M.FirstAliveAgeMs_ = millis(Now - Living);
     M.Sequence_ = ++Sequence_;
-    M.Echo_ = Heard_;
+    M.EchoedSequence_ = Heard_;
     for (std::size_t I = 0; I < Fleet - 2; ++I)
       M.Members_.push_back(member(Order_[I]));
     News_->received(at(Now), LinkId{1}, M);
   }
 
-  std::unique_ptr<NewsExchange> News_;
+  std::unique_ptr<GossipNode> News_;
 
 private:
   static constexpr std::size_t Fleet = 200;
@@ -72,9 +72,9 @@
               [](auto A, auto B) { return score(A) < score(B); });
     return Result;
   }
-  NewsHooks hooks() {
-    NewsHooks Hooks;
-    Hooks.Send_ = [this](LinkId, const NewsMessage &M) {
+  GossipHooks hooks() {
+    GossipHooks Hooks;
+    Hooks.Send_ = [this](LinkId, const GossipMessage &M) {
       if (const auto *Beat = std::get_if<PeerHeartbeat>(&M))
         Heard_ = Beat->Sequence_;
     };
@@ -100,7 +100,7 @@
     L.News_->tick(at(Now));
     // Nobody is served from 1 s on, and the first says once a second it lives.
     L.beat(Now, std::min<Micros>(Now, 1s), Now - Now % 1s);
-    CHECK(L.News_->readFrom() > at(Now));
+    CHECK(L.News_->nextReadAt() > at(Now));
   }
 }
 
@@ -110,9 +110,9 @@
     L.News_->tick(at(Now));
     L.beat(Now, std::min<Micros>(Now, 1s), std::min<Micros>(Now, 1s));
   }
-  CHECK(L.News_->readFrom() <=
+  CHECK(L.News_->nextReadAt() <=
         at(1s) + 3300ms); // 2.5 s of silence, 0.8 s spread
-  CHECK(L.News_->readFrom() >= at(1s) + 1500ms);
+  CHECK(L.News_->nextReadAt() >= at(1s) + 1500ms);
 }
 
 TEST_CASE("word of the first that may be old does not hold up a part") {
@@ -124,11 +124,11 @@
   // Held up since, and now arriving: they echo nothing recent.
   PeerHeartbeat Late;
   Late.Sender_ = member(0);
-  Late.LivingAgeMs_ = 0;
-  Late.Echo_ = 1;
+  Late.FirstAliveAgeMs_ = 0;
+  Late.EchoedSequence_ = 1;
   for (Micros Now = 1250ms; Now <= 6s; Now += 250ms) {
     L.News_->tick(at(Now));
     L.News_->received(at(Now), LinkId{1}, Late);
   }
-  CHECK(L.News_->readFrom() <= at(1s) + 3300ms);
+  CHECK(L.News_->nextReadAt() <= at(1s) + 3300ms);
 }
