--- a/include/thymewall/evacuation.h
+++ b/include/thymewall/evacuation.h
@@ -46,16 +46,17 @@
   /// All evacuated halls, for a peer.
   EvacuationBatch all() const;
   bool isEvacuated(const std::string &DataHall) const {
-    return Halls_.count(DataHall) != 0;
+    return EvacuatedAt_.count(DataHall) != 0;
   }
 
 private:
-  void applyOne(const EvacuationChange &Change,
-                std::vector<EvacuationChange> &Applied);
-  void applyAbsences(const EvacuationBatch &Batch,
-                     std::vector<EvacuationChange> &Applied);
+  void applyChange(const EvacuationChange &Change,
+                   std::vector<EvacuationChange> &Applied);
+  void removeAbsent(const EvacuationBatch &Batch,
+                    std::vector<EvacuationChange> &Applied);
 
-  std::map<std::string, Revision> Halls_; ///< When each was last evacuated.
+  std::map<std::string, Revision>
+      EvacuatedAt_; ///< When each was last evacuated.
   Revision Through_ = 0;
 };
 
--- a/include/thymewall/intent-reader.h
+++ b/include/thymewall/intent-reader.h
@@ -93,48 +93,49 @@
   /// The bound is for a few that reach no other.
   static constexpr Micros MaxFleetJitter = std::chrono::seconds(10);
 
-  /// \p Spread in [0, 1) keeps processes that start together apart.
+  /// \p Jitter in [0, 1) keeps processes that start together apart.
   /// \p IsSeed: others find their peers through this one.
-  explicit ConfigReader(double Spread, bool IsSeed = false)
-      : Spread_(Spread), IsSeed_(IsSeed) {}
+  explicit ConfigReader(double Jitter, bool IsSeed = false)
+      : JitterFraction_(Jitter), IsSeed_(IsSeed) {}
 
   /// The call that is due at \p Now, if any; at most one is under way. None
-  /// starts before \p ReadFrom: others keep this process informed until then.
-  std::optional<ConfigRequest> next(MonoTime Now, MonoTime ReadFrom);
+  /// starts before \p NotBefore: others keep this process informed until then.
+  std::optional<ConfigRequest> next(MonoTime Now, MonoTime NotBefore);
   /// When `next` should be asked again; the far future while a call is under
   /// way.
-  MonoTime dueAt(MonoTime ReadFrom) const;
-  /// Takes the answer of the call under way in; \p Fleet processes share the
-  /// reading.
-  void answered(MonoTime Now, const ConfigResponse &Answer, std::size_t Fleet);
+  MonoTime dueAt(MonoTime NotBefore) const;
+  /// Takes the answer of the call under way in; \p FleetSize processes share
+  /// the reading.
+  void answered(MonoTime Now, const ConfigResponse &Response,
+                std::size_t FleetSize);
   /// Everything through \p Through is known, whoever told it.
   void noteRevision(Revision Through);
   /// Nobody can tell the rest: a call that only left time for peers is due.
   void noPeersFound(MonoTime Now);
   /// The next call must read everything.
-  void requestList() { ListWanted_ = true; }
+  void requestList() { ListNeeded_ = true; }
   /// All changes up to this time are in the last answer.
   MonoTime completeAt() const { return CompleteAt_; }
 
 private:
   ConfigRequest::Kind nextKind() const;
-  Micros pauseForPeers(const ConfigResponse &Stale) const;
-  Micros pauseAfter(MonoTime Now, const ConfigResponse &Answer,
-                    std::size_t Fleet);
+  Micros peerWait(const ConfigResponse &StaleList) const;
+  Micros delayAfter(MonoTime Now, const ConfigResponse &Response,
+                    std::size_t FleetSize);
 
-  double Spread_;
+  double JitterFraction_;
   bool IsSeed_;
   Revision Through_ = 0;
   MonoTime DueAt_{};
   MonoTime SentAt_{};
   MonoTime WaitUntil_{};
   MonoTime CompleteAt_{};
-  Micros FailurePause_ = InitialBackoff;
-  bool ListWanted_ = true;
-  bool StaleWanted_ = true; ///< First: nothing is known.
-  std::size_t StaleTried_ = 0;
-  bool LeavesTimeForPeers_ = false; ///< Has parts only.
-  bool UnderWay_ = false;
+  Micros Backoff_ = InitialBackoff;
+  bool ListNeeded_ = true;
+  bool StaleListNeeded_ = true; ///< First: nothing is known.
+  std::size_t StaleListAttempts_ = 0;
+  bool WaitingForPeers_ = false; ///< Has parts only.
+  bool InFlight_ = false;
 };
 
 } // namespace thymewall
--- a/include/thymewall/list-parts.h
+++ b/include/thymewall/list-parts.h
@@ -29,18 +29,18 @@
   static constexpr std::size_t MinUpstreamsAtStart = 64;
 
   /// \p First keeps balancers that start together at different parts.
-  explicit PartReadPlan(std::uint8_t First) : Next_(First) {}
+  explicit PartReadPlan(std::uint8_t First) : NextPart_(First) {}
 
-  std::uint8_t next() const { return Next_; }
-  /// The part `next()` was read and has so many upstreams.
-  void read(std::size_t Upstreams);
+  std::uint8_t nextPart() const { return NextPart_; }
+  /// The part `nextPart()` was read and has so many upstreams.
+  void addPart(std::size_t Upstreams);
   /// The parts that were read are small: reading the whole list costs less.
   bool listIsShort() const;
-  bool enough() const;
+  bool hasEnough() const;
   const ListParts &parts() const { return Parts_; }
 
 private:
-  std::uint8_t Next_;
+  std::uint8_t NextPart_;
   ListParts Parts_;
   std::size_t Upstreams_ = 0;
 };
--- a/src/intent-reader.cc
+++ b/src/intent-reader.cc
@@ -6,11 +6,11 @@
 
 namespace {
 
-bool bringsNews(const ConfigResponse &Answer) {
-  return Answer.Routing_ || !Answer.Batch_.Changes_.empty();
+bool hasChanges(const ConfigResponse &Response) {
+  return Response.Routing_ || !Response.Batch_.Changes_.empty();
 }
 
-Micros part(Micros Of, double Share) {
+Micros scaled(Micros Of, double Share) {
   return Micros(
       static_cast<Micros::rep>(Share * static_cast<double>(Of.count())));
 }
@@ -18,72 +18,73 @@
 } // namespace
 
 std::optional<ConfigRequest> ConfigReader::next(MonoTime Now,
-                                                MonoTime ReadFrom) {
-  if (Now < dueAt(ReadFrom))
+                                                MonoTime NotBefore) {
+  if (Now < dueAt(NotBefore))
     return std::nullopt;
-  UnderWay_ = true;
+  InFlight_ = true;
   SentAt_ = Now;
-  WaitUntil_ = ListWanted_ ? Now : Now + WatchTimeout;
-  ConfigRequest Call;
-  Call.Kind_ = nextKind();
-  Call.After_ = ListWanted_ ? 0 : Through_;
-  Call.FirstPart_ =
-      static_cast<std::uint8_t>(Spread_ * static_cast<double>(ListPartCount));
-  Call.WaitUntil_ = WaitUntil_;
-  Call.GiveUpAt_ = WaitUntil_ + ResponseTimeout;
-  return Call;
+  WaitUntil_ = ListNeeded_ ? Now : Now + WatchTimeout;
+  ConfigRequest Request;
+  Request.Kind_ = nextKind();
+  Request.After_ = ListNeeded_ ? 0 : Through_;
+  Request.FirstPart_ = static_cast<std::uint8_t>(
+      JitterFraction_ * static_cast<double>(ListPartCount));
+  Request.WaitUntil_ = WaitUntil_;
+  Request.GiveUpAt_ = WaitUntil_ + ResponseTimeout;
+  return Request;
 }
 
 ConfigRequest::Kind ConfigReader::nextKind() const {
-  if (!ListWanted_)
+  if (!ListNeeded_)
     return ConfigRequest::Kind::Watch;
-  return StaleWanted_ ? ConfigRequest::Kind::StaleList
-                      : ConfigRequest::Kind::List;
+  return StaleListNeeded_ ? ConfigRequest::Kind::StaleList
+                          : ConfigRequest::Kind::List;
 }
 
-MonoTime ConfigReader::dueAt(MonoTime ReadFrom) const {
-  if (UnderWay_)
+MonoTime ConfigReader::dueAt(MonoTime NotBefore) const {
+  if (InFlight_)
     return MonoTime::max();
   // A start reads what it serves by, whoever reads for the fleet.
-  bool Starts = ListWanted_ && StaleWanted_;
-  return Starts ? DueAt_ : std::max(DueAt_, ReadFrom);
+  bool Starting = ListNeeded_ && StaleListNeeded_;
+  return Starting ? DueAt_ : std::max(DueAt_, NotBefore);
 }
 
 void ConfigReader::noteRevision(Revision Through) {
   if (Through <= Through_)
     return;
   Through_ = Through;
-  ListWanted_ = false; // changes after it can be watched for
-  StaleWanted_ = false;
-  LeavesTimeForPeers_ = false;
+  ListNeeded_ = false; // changes after it can be watched for
+  StaleListNeeded_ = false;
+  WaitingForPeers_ = false;
 }
 
 void ConfigReader::noPeersFound(MonoTime Now) {
-  if (LeavesTimeForPeers_)
+  if (WaitingForPeers_)
     DueAt_ = std::min(DueAt_, Now);
 }
 
-void ConfigReader::answered(MonoTime Now, const ConfigResponse &Answer,
-                            std::size_t Fleet) {
-  UnderWay_ = false;
-  bool Served = Answer.Outcome_ == ConfigResponse::Outcome::Stale ||
-                Answer.Outcome_ == ConfigResponse::Outcome::Done;
-  StaleWanted_ =
-      StaleWanted_ && !Served && ++StaleTried_ < MaxStaleListAttempts;
-  LeavesTimeForPeers_ = Answer.Parts_.has_value();
-  DueAt_ = Now + pauseAfter(Now, Answer, Fleet);
-  switch (Answer.Outcome_) {
+void ConfigReader::answered(MonoTime Now, const ConfigResponse &Response,
+                            std::size_t FleetSize) {
+  InFlight_ = false;
+  bool Served = Response.Outcome_ == ConfigResponse::Outcome::Stale ||
+                Response.Outcome_ == ConfigResponse::Outcome::Done;
+  StaleListNeeded_ = StaleListNeeded_ && !Served &&
+                     ++StaleListAttempts_ < MaxStaleListAttempts;
+  WaitingForPeers_ = Response.Parts_.has_value();
+  DueAt_ = Now + delayAfter(Now, Response, FleetSize);
+  switch (Response.Outcome_) {
   case ConfigResponse::Outcome::Done:
-    noteRevision(Answer.Batch_.Through_);
-    ListWanted_ = false;
+    noteRevision(Response.Batch_.Through_);
+    ListNeeded_ = false;
     // A watch that waited to its end without news was complete then; one that
     // was answered early may have been answered right after it was sent.
-    CompleteAt_ = bringsNews(Answer) || Now < WaitUntil_ ? SentAt_ : WaitUntil_;
+    CompleteAt_ =
+        hasChanges(Response) || Now < WaitUntil_ ? SentAt_ : WaitUntil_;
     return;
   case ConfigResponse::Outcome::Stale:
     return;
   case ConfigResponse::Outcome::HistoryGone:
-    ListWanted_ = true;
+    ListNeeded_ = true;
     return;
   case ConfigResponse::Outcome::Refused:
   case ConfigResponse::Outcome::Failed:
@@ -93,40 +94,41 @@
 
 /// An empty list says nothing of how long the current one is: all start before
 /// any upstream does.
-Micros ConfigReader::pauseForPeers(const ConfigResponse &Stale) const {
-  if (Stale.Parts_)
-    return IsSeed_ ? SeedListDelay
-                   : PartsExchangeWait + part(MaxFleetJitter, Spread_);
-  std::size_t Upstreams = Stale.Batch_.Changes_.size();
+Micros ConfigReader::peerWait(const ConfigResponse &StaleList) const {
+  if (StaleList.Parts_)
+    return IsSeed_
+               ? SeedListDelay
+               : PartsExchangeWait + scaled(MaxFleetJitter, JitterFraction_);
+  std::size_t Upstreams = StaleList.Batch_.Changes_.size();
   if (Upstreams == 0)
-    return PeerUpdateWait + part(PeerUpdateJitter, Spread_);
+    return PeerUpdateWait + scaled(PeerUpdateJitter, JitterFraction_);
   auto Count = static_cast<Micros::rep>(Upstreams);
-  Micros Spread =
+  Micros Jitter =
       std::min(PeerUpdateJitter, PeerUpdateJitterPerUpstream * Count);
   return std::min(PeerUpdateWait, PeerUpdateWaitPerUpstream * Count) +
-         part(Spread, Spread_);
+         scaled(Jitter, JitterFraction_);
 }
 
-Micros ConfigReader::pauseAfter(MonoTime Now, const ConfigResponse &Answer,
-                                std::size_t Fleet) {
-  if (Answer.Outcome_ == ConfigResponse::Outcome::Done) {
-    FailurePause_ = InitialBackoff;
+Micros ConfigReader::delayAfter(MonoTime Now, const ConfigResponse &Response,
+                                std::size_t FleetSize) {
+  if (Response.Outcome_ == ConfigResponse::Outcome::Done) {
+    Backoff_ = InitialBackoff;
     // A service that doesn't wait must not be asked without a pause.
     bool Early = Now < WaitUntil_ - WatchTimeout / 2;
-    return bringsNews(Answer) || Early ? PauseAfterChange : Micros(0);
+    return hasChanges(Response) || Early ? PauseAfterChange : Micros(0);
   }
-  if (Answer.Outcome_ == ConfigResponse::Outcome::Stale)
-    return pauseForPeers(Answer);
-  if (Answer.Outcome_ == ConfigResponse::Outcome::HistoryGone)
+  if (Response.Outcome_ == ConfigResponse::Outcome::Stale)
+    return peerWait(Response);
+  if (Response.Outcome_ == ConfigResponse::Outcome::HistoryGone)
     return Micros(0);
-  Micros Pause = FailurePause_;
-  Micros Shared = std::chrono::seconds(Fleet) / FleetRetriesPerSecond;
-  FailurePause_ = std::min(2 * FailurePause_, std::max(MaxBackoff, Shared));
-  Micros Own = part(Pause, 0.5 + Spread_ / 2);
-  bool OthersCall = Through_ != 0 && Shared > MaxBackoff;
-  return OthersCall
-             ? std::max(Own, part(std::min(Shared, MaxFleetJitter), Spread_))
-             : Own;
+  Micros Pause = Backoff_;
+  Micros Shared = std::chrono::seconds(FleetSize) / FleetRetriesPerSecond;
+  Backoff_ = std::min(2 * Backoff_, std::max(MaxBackoff, Shared));
+  Micros Own = scaled(Pause, 0.5 + JitterFraction_ / 2);
+  bool OthersRetry = Through_ != 0 && Shared > MaxBackoff;
+  return OthersRetry ? std::max(Own, scaled(std::min(Shared, MaxFleetJitter),
+                                            JitterFraction_))
+                     : Own;
 }
 
 } // namespace thymewall
--- a/src/list-parts.cc
+++ b/src/list-parts.cc
@@ -6,13 +6,13 @@
 
 /// Odd, so that all parts come in turn; far apart, so that balancers whose
 /// first parts are neighbours share no other one.
-constexpr std::uint8_t Step = 97;
+constexpr std::uint8_t PartStep = 97;
 
 } // namespace
 
-void PartReadPlan::read(std::size_t Upstreams) {
-  Parts_.set(Next_);
-  Next_ = static_cast<std::uint8_t>(Next_ + Step);
+void PartReadPlan::addPart(std::size_t Upstreams) {
+  Parts_.set(NextPart_);
+  NextPart_ = static_cast<std::uint8_t>(NextPart_ + PartStep);
   Upstreams_ += Upstreams;
 }
 
@@ -20,6 +20,8 @@
   return Upstreams_ < MinUpstreamsPerPart * Parts_.count();
 }
 
-bool PartReadPlan::enough() const { return Upstreams_ >= MinUpstreamsAtStart; }
+bool PartReadPlan::hasEnough() const {
+  return Upstreams_ >= MinUpstreamsAtStart;
+}
 
 } // namespace thymewall
--- a/src/member-list.cc
+++ b/src/member-list.cc
@@ -16,9 +16,9 @@
   if (Told.Name_ == Self_)
     return;
   MonoTime AliveAt = Now - std::chrono::milliseconds(Told.AgeMs_);
-  if (Now - AliveAt > ForgetAfter)
+  if (Now - AliveAt > MemberTimeout)
     return;
-  Row &Known = Known_[Told.Name_];
+  Record &Known = Members_[Told.Name_];
   if (Known.AliveAt_ >= AliveAt)
     return;
   Known.Member_ = Told;
@@ -26,21 +26,21 @@
   Known.AliveAt_ = AliveAt;
 }
 
-void MemberList::forgetSilent(MonoTime Now) {
-  for (auto Item = Known_.begin(); Item != Known_.end();) {
-    bool Silent = Now - Item->second.AliveAt_ > ForgetAfter;
-    Item = Silent ? Known_.erase(Item) : std::next(Item);
+void MemberList::expireSilent(MonoTime Now) {
+  for (auto Item = Members_.begin(); Item != Members_.end();) {
+    bool Silent = Now - Item->second.AliveAt_ > MemberTimeout;
+    Item = Silent ? Members_.erase(Item) : std::next(Item);
   }
 }
 
 void MemberList::avoid(const std::string &Name, MonoTime Until) {
-  auto Item = Known_.find(Name);
-  if (Item != Known_.end())
+  auto Item = Members_.find(Name);
+  if (Item != Members_.end())
     Item->second.AvoidUntil_ = Until;
 }
 
 void MemberList::avoid(const Endpoint &Control, MonoTime Until) {
-  for (auto &[Name, Known] : Known_)
+  for (auto &[Name, Known] : Members_)
     if (Known.Member_.Control_ == Control)
       Known.AvoidUntil_ = Until;
 }
@@ -48,22 +48,22 @@
 std::size_t
 MemberList::countIf(const std::function<bool(const Member &)> &Wanted) const {
   std::size_t Count = 0;
-  for (const auto &[Name, Known] : Known_)
+  for (const auto &[Name, Known] : Members_)
     if (Wanted(Known.Member_))
       ++Count;
   return Count;
 }
 
 bool MemberList::isDataHallLost(MonoTime Now, const std::string &Hall) const {
-  if (Known_.size() > HeardOf || !has(Mechanism::LostHall))
+  if (Members_.size() > MaxTrackedMembers || !has(Mechanism::LostHall))
     return false;
   std::map<std::string, HallCount> Halls;
   Halls[Hall] = {1, 1};
-  for (const auto &[Name, Known] : Known_) {
+  for (const auto &[Name, Known] : Members_) {
     HallCount &Count = Halls[Known.Member_.DataHall_];
-    ++Count.Known_;
-    if (Now - Known.AliveAt_ <= LivesWithin)
-      ++Count.Living_;
+    ++Count.Total_;
+    if (Now - Known.AliveAt_ <= AliveWithin)
+      ++Count.Alive_;
   }
   auto Well = [&](const auto &Item) {
     return Item.first != Hall && !Item.second.mostlyDead();
@@ -74,51 +74,51 @@
 
 std::vector<Member> MemberList::all() const {
   std::vector<Member> Result;
-  for (const auto &[Name, Known] : Known_)
+  for (const auto &[Name, Known] : Members_)
     Result.push_back(Known.Member_);
   return Result;
 }
 
 std::vector<Member> MemberList::reachable(MonoTime Now) const {
   std::vector<Member> Result;
-  for (const auto &[Name, Known] : Known_)
+  for (const auto &[Name, Known] : Members_)
     if (Known.AvoidUntil_ <= Now)
       Result.push_back(Known.Member_);
   return Result;
 }
 
-std::vector<Member> MemberList::inTurn(MonoTime Now, std::size_t Count) {
+std::vector<Member> MemberList::nextMembers(MonoTime Now, std::size_t Count) {
   std::vector<Member> Result;
-  auto Next = Known_.upper_bound(LastInTurn_);
-  for (std::size_t I = 0; I < std::min(Count, Known_.size()); ++I) {
-    if (Next == Known_.end())
-      Next = Known_.begin();
+  auto Next = Members_.upper_bound(LastSentName_);
+  for (std::size_t I = 0; I < std::min(Count, Members_.size()); ++I) {
+    if (Next == Members_.end())
+      Next = Members_.begin();
     Result.push_back(Next->second.Member_);
     Result.back().AgeMs_ = ageMs(Next->second.AliveAt_, Now);
-    LastInTurn_ = Next->first;
+    LastSentName_ = Next->first;
     ++Next;
   }
   return Result;
 }
 
-std::vector<const MemberList::Row *> MemberList::firstRows() const {
-  std::vector<const Row *> Rows;
-  for (const auto &[Name, Known] : Known_)
-    Rows.push_back(&Known);
-  auto Middle =
-      Rows.begin() + static_cast<long>(std::min(FirstKnown, Rows.size()));
+std::vector<const MemberList::Record *> MemberList::firstReaders() const {
+  std::vector<const Record *> Records;
+  for (const auto &[Name, Known] : Members_)
+    Records.push_back(&Known);
+  auto Middle = Records.begin() +
+                static_cast<long>(std::min(FirstReaderCount, Records.size()));
   std::partial_sort(
-      Rows.begin(), Middle, Rows.end(),
-      [](const Row *A, const Row *B) { return A->Score_ < B->Score_; });
-  Rows.erase(Middle, Rows.end());
-  return Rows;
+      Records.begin(), Middle, Records.end(),
+      [](const Record *A, const Record *B) { return A->Score_ < B->Score_; });
+  Records.erase(Middle, Records.end());
+  return Records;
 }
 
-std::vector<Member> MemberList::firstInTurn(MonoTime Now) {
-  if (hearsOfAll())
+std::vector<Member> MemberList::nextFirstReader(MonoTime Now) {
+  if (tracksAllMembers())
     return {};
-  std::vector<const Row *> First = firstRows();
-  const Row &Next = *First[NextFirst_++ % First.size()];
+  std::vector<const Record *> First = firstReaders();
+  const Record &Next = *First[NextFirstReader_++ % First.size()];
   Member Told = Next.Member_;
   Told.AgeMs_ = ageMs(Next.AliveAt_, Now);
   return {Told};
@@ -127,28 +127,28 @@
 /// Scores are spread evenly: the last of the first ones tells how many
 /// balancers there are up to it.
 double MemberList::balancersPerScore() const {
-  std::uint64_t Last = firstRows().back()->Score_;
-  return static_cast<double>(FirstKnown) / static_cast<double>(Last);
+  std::uint64_t Last = firstReaders().back()->Score_;
+  return static_cast<double>(FirstReaderCount) / static_cast<double>(Last);
 }
 
-std::size_t MemberList::placeOf(std::uint64_t Score) const {
+std::size_t MemberList::rankOf(std::uint64_t Score) const {
   std::size_t Before = 0;
-  for (const auto &[Name, Known] : Known_)
+  for (const auto &[Name, Known] : Members_)
     Before += Known.Score_ < Score ? 1 : 0;
-  if (hearsOfAll() || Before < FirstKnown)
+  if (tracksAllMembers() || Before < FirstReaderCount)
     return Before;
-  auto Judged = static_cast<std::size_t>(balancersPerScore() *
-                                         static_cast<double>(Score));
-  return std::max(Before, Judged);
+  auto Estimate = static_cast<std::size_t>(balancersPerScore() *
+                                           static_cast<double>(Score));
+  return std::max(Before, Estimate);
 }
 
 std::size_t MemberList::fleetSize() const {
-  std::size_t Heard = Known_.size() + 1;
-  if (hearsOfAll())
-    return Heard;
+  std::size_t Tracked = Members_.size() + 1;
+  if (tracksAllMembers())
+    return Tracked;
   constexpr double Highest = 18446744073709551616.0; // 2^64
-  auto Judged = static_cast<std::size_t>(balancersPerScore() * Highest);
-  return std::max(Heard, Judged);
+  auto Estimate = static_cast<std::size_t>(balancersPerScore() * Highest);
+  return std::max(Tracked, Estimate);
 }
 
 } // namespace thymewall::detail
--- a/src/news-links.cc
+++ b/src/news-links.cc
@@ -9,41 +9,41 @@
 namespace {
 
 /// Members told of when a link opens, and with each heartbeat.
-constexpr std::size_t MembersAtOpening = 64;
+constexpr std::size_t MembersOnOpen = 64;
 constexpr std::size_t MembersPerHeartbeat = 3;
 /// Of the links that a balancer opens, those to other data halls. In a large
 /// fleet each hall has hundreds of such links, and bytes between halls cost
 /// more than those within one.
-constexpr std::size_t FarLinks = 2;
-constexpr std::size_t FarLinksOfMany = 1;
+constexpr std::size_t RemoteHallLinks = 2;
+constexpr std::size_t RemoteHallLinksLargeFleet = 1;
 /// Ticks during which a start without links tries one seed only.
-constexpr std::size_t TriesOfOneSeed = 2;
+constexpr std::size_t SingleSeedAttempts = 2;
 /// Heartbeats whose time of sending is remembered for a link.
-constexpr std::size_t SentTimesKept = 16;
+constexpr std::size_t MaxSentHeartbeats = 16;
 
 } // namespace
 
-void GossipNode::Impl::opened(MonoTime Now, LinkId Which, bool Outbound) {
-  bool SentOn = !Outbound && acceptsNoMore();
-  GossipLink &L = Links_[Which];
+void GossipNode::Impl::opened(MonoTime Now, LinkId Link, bool Outbound) {
+  bool Redirected = !Outbound && inboundLinksFull();
+  GossipLink &L = Links_[Link];
   L.Outbound_ = Outbound;
-  L.SentOn_ = SentOn;
-  L.SilentAt_ = Now + LinkTimeout;
-  beat(Now, Which, L, MembersAtOpening);
+  L.Redirected_ = Redirected;
+  L.ExpiresAt_ = Now + LinkTimeout;
+  sendHeartbeat(Now, Link, L, MembersOnOpen);
 }
 
-void GossipNode::Impl::closed(MonoTime Now, LinkId Which) {
-  auto Known = Links_.find(Which);
+void GossipNode::Impl::closed(MonoTime Now, LinkId Link) {
+  auto Known = Links_.find(Link);
   if (Known == Links_.end())
     return;
   std::string Peer = Known->second.Peer_;
-  if (!Known->second.Questions_.empty())
-    AskAgainAt_ = Now; // no answer will come
+  if (!Known->second.PendingRequests_.empty())
+    NextRequestAt_ = Now; // no answer will come
   Links_.erase(Known);
   if (!linkedTo(Peer))
     Members_.avoid(Peer, Now + ReconnectDelay);
   if (Links_.empty() && !Leaving_)
-    linkToWanted(Now); // a seed may have sent this balancer on
+    connectToChosen(Now); // a seed may have sent this balancer on
 }
 
 void GossipNode::Impl::connectFailed(MonoTime Now, const Endpoint &Control) {
@@ -53,19 +53,19 @@
 
 void GossipNode::Impl::setLeaving(MonoTime Now) {
   Leaving_ = true;
-  beatAll(Now);
+  sendHeartbeats(Now);
 }
 
-void GossipNode::Impl::closeSpare(LinkId Which, const std::string &Peer) {
+void GossipNode::Impl::closeDuplicate(LinkId Link, const std::string &Peer) {
   // Of two links between two balancers, the one that the later name opened
   // goes.
   auto Count =
       std::count_if(Links_.begin(), Links_.end(), [&](const auto &Item) {
         return Item.second.Peer_ == Peer;
       });
-  if (Count < 2 || !Links_[Which].Outbound_ || Options_.Self_.Name_ < Peer)
+  if (Count < 2 || !Links_[Link].Outbound_ || Options_.Self_.Name_ < Peer)
     return;
-  Hooks_.Close_(Which);
+  Hooks_.Close_(Link);
 }
 
 PeerHeartbeat GossipNode::Impl::heartbeat(MonoTime Now, std::size_t Count) {
@@ -74,71 +74,71 @@
   M.Leaving_ = Leaving_;
   M.Routing_ = Routing_ ? Routing_->Version_ : 0;
   M.Through_ = List_.through();
-  M.StateAgeMs_ = knownAgeMs(Now);
-  M.ReaderScore_ = Reader_.Score_;
-  if (Now - Reader_.At_ < TakeoverAge)
-    M.ReaderAgeMs_ = detail::ageMs(Reader_.At_, Now);
-  M.FirstAliveScore_ = Living_.Score_;
-  if (Now - Living_.At_ < LinkTimeout)
-    M.FirstAliveAgeMs_ = detail::ageMs(Living_.At_, Now);
-  M.UptimeMs_ = detail::ageMs(PresentSince_, Now);
+  M.StateAgeMs_ = stateAgeMs(Now);
+  M.ReaderScore_ = FirstReader_.Score_;
+  if (Now - FirstReader_.At_ < TakeoverAge)
+    M.ReaderAgeMs_ = detail::ageMs(FirstReader_.At_, Now);
+  M.FirstAliveScore_ = FirstAlive_.Score_;
+  if (Now - FirstAlive_.At_ < LinkTimeout)
+    M.FirstAliveAgeMs_ = detail::ageMs(FirstAlive_.At_, Now);
+  M.UptimeMs_ = detail::ageMs(RunningSince_, Now);
   M.UpstreamCount_ = static_cast<std::uint32_t>(List_.size());
   if (List_.through() == 0)
     M.Parts_ = Parts_;
-  M.Members_ = Members_.inTurn(Now, Count);
+  M.Members_ = Members_.nextMembers(Now, Count);
   if (Count > 0)
-    for (const Member &First : Members_.firstInTurn(Now))
+    for (const Member &First : Members_.nextFirstReader(Now))
       M.Members_.push_back(First);
   return M;
 }
 
-void GossipNode::Impl::beat(MonoTime Now, LinkId Which, GossipLink &L,
-                            std::size_t Members) {
+void GossipNode::Impl::sendHeartbeat(MonoTime Now, LinkId Link, GossipLink &L,
+                                     std::size_t Members) {
   PeerHeartbeat M = heartbeat(Now, Members);
   M.Sequence_ = ++L.Sequence_;
-  M.EchoedSequence_ = L.LastHeard_;
-  L.Sent_.push_back({M.Sequence_, Now});
-  if (L.Sent_.size() > SentTimesKept)
-    L.Sent_.pop_front();
+  M.EchoedSequence_ = L.LastReceivedSequence_;
+  L.SentHeartbeats_.push_back({M.Sequence_, Now});
+  if (L.SentHeartbeats_.size() > MaxSentHeartbeats)
+    L.SentHeartbeats_.pop_front();
   ++Counters_.HeartbeatsSent_;
-  Hooks_.Send_(Which, M);
+  Hooks_.Send_(Link, M);
 }
 
-void GossipNode::Impl::beatAll(MonoTime Now) {
-  ToldAsOf_ = KnownAsOf_;
-  ToldParts_ = Parts_.count();
-  ToldReader_ = Reader_.Score_;
-  ToldLivingAt_ = Living_.At_;
-  NextBeat_ = Now + HeartbeatInterval;
+void GossipNode::Impl::sendHeartbeats(MonoTime Now) {
+  AnnouncedAsOf_ = ConfirmedAsOf_;
+  AnnouncedParts_ = Parts_.count();
+  AnnouncedReader_ = FirstReader_.Score_;
+  AnnouncedAliveAt_ = FirstAlive_.At_;
+  NextHeartbeatAt_ = Now + HeartbeatInterval;
   // Members once in the time of a heartbeat, however often more recent
   // knowledge is told: they are most of a heartbeat's bytes.
-  bool TellMembers = Now >= TellMembersAt_;
-  if (TellMembers)
-    TellMembersAt_ = Now + HeartbeatInterval;
-  for (auto &[Which, L] : Links_)
-    beat(Now, Which, L, TellMembers ? MembersPerHeartbeat : 0);
+  bool IncludeMembers = Now >= NextMembersAt_;
+  if (IncludeMembers)
+    NextMembersAt_ = Now + HeartbeatInterval;
+  for (auto &[Link, L] : Links_)
+    sendHeartbeat(Now, Link, L, IncludeMembers ? MembersPerHeartbeat : 0);
 }
 
 void GossipNode::Impl::tick(MonoTime Now) {
   if (Now - LastTick_ > SuspendThreshold)
-    PresentSince_ = Now;
+    RunningSince_ = Now;
   LastTick_ = Now;
   std::vector<LinkId> Silent;
-  for (const auto &[Which, L] : Links_)
-    if (Now > L.SilentAt_)
-      Silent.push_back(Which);
-  for (LinkId Which : Silent) {
-    closed(Now, Which);
-    Hooks_.Close_(Which);
+  for (const auto &[Link, L] : Links_)
+    if (Now > L.ExpiresAt_)
+      Silent.push_back(Link);
+  for (LinkId Link : Silent) {
+    closed(Now, Link);
+    Hooks_.Close_(Link);
   }
-  Members_.forgetSilent(Now);
-  noteLiving(Now, Score_, Now);
-  for (auto Item = Told_.begin(); Item != Told_.end();)
-    Item = Now >= Item->second ? Told_.erase(Item) : std::next(Item);
-  bool MoreParts = List_.through() == 0 && Parts_.count() > ToldParts_;
-  if (Now >= NextBeat_ || MoreParts)
-    beatAll(Now);
-  keepLinks(Now);
+  Members_.expireSilent(Now);
+  noteAlive(Now, Score_, Now);
+  for (auto Item = RecentWarnings_.begin(); Item != RecentWarnings_.end();)
+    Item = Now >= Item->second ? RecentWarnings_.erase(Item) : std::next(Item);
+  bool MoreParts = List_.through() == 0 && Parts_.count() > AnnouncedParts_;
+  if (Now >= NextHeartbeatAt_ || MoreParts)
+    sendHeartbeats(Now);
+  maintainLinks(Now);
 }
 
 bool GossipNode::Impl::linkedTo(const std::string &Name) const {
@@ -147,24 +147,25 @@
   });
 }
 
-void GossipNode::Impl::keepLinks(MonoTime Now) {
+void GossipNode::Impl::maintainLinks(MonoTime Now) {
   if (Leaving_)
     return;
   if (Links_.empty())
     connectSeeds();
   else
-    lookForOthers();
-  closeUnwanted(linkToWanted(Now));
+    probeSeeds();
+  closeSurplusLinks(connectToChosen(Now));
 }
 
-std::vector<Member> GossipNode::Impl::linkToWanted(MonoTime Now) {
-  std::vector<Member> Wanted = detail::choosePeers(
+std::vector<Member> GossipNode::Impl::connectToChosen(MonoTime Now) {
+  std::vector<Member> Chosen = detail::choosePeers(
       Members_.reachable(Now), Options_.Self_, OutboundLinks,
-      Members_.hearsOfAll() ? FarLinks : FarLinksOfMany);
-  for (const Member &M : Wanted)
+      Members_.tracksAllMembers() ? RemoteHallLinks
+                                  : RemoteHallLinksLargeFleet);
+  for (const Member &M : Chosen)
     if (!linkedTo(M.Name_))
       connect(M.Control_);
-  return Wanted;
+  return Chosen;
 }
 
 /// First one of the seeds, so that each meets a part of a fleet that starts,
@@ -173,7 +174,7 @@
   const std::vector<Endpoint> &Seeds = Options_.Seeds_;
   bool IsSeed = std::find(Seeds.begin(), Seeds.end(),
                           Options_.Self_.Control_) != Seeds.end();
-  bool All = IsSeed || SeedAttempts_++ >= TriesOfOneSeed;
+  bool All = IsSeed || SeedAttempts_++ >= SingleSeedAttempts;
   for (std::size_t I = 0; I < Seeds.size(); ++I)
     if (All || Score_ % Seeds.size() == I)
       connectSeed(Seeds[I]);
@@ -181,8 +182,8 @@
 
 /// Seeds that are no members are where another part of the fleet may be: at
 /// each tick about one balancer of those that know each other tries.
-void GossipNode::Impl::lookForOthers() {
-  std::uint64_t Draw = hashPair(Score_, ++Draws_);
+void GossipNode::Impl::probeSeeds() {
+  std::uint64_t Draw = hashPair(Score_, ++ProbeCount_);
   if (Draw % (Members_.size() + 1) != 0)
     return;
   for (const Endpoint &Seed : Options_.Seeds_)
@@ -197,29 +198,29 @@
 }
 
 /// Whether enough links are accepted without a further one.
-bool GossipNode::Impl::acceptsNoMore() const {
+bool GossipNode::Impl::inboundLinksFull() const {
   auto Accepted =
       std::count_if(Links_.begin(), Links_.end(), [](const auto &Item) {
-        return !Item.second.Outbound_ && !Item.second.SentOn_;
+        return !Item.second.Outbound_ && !Item.second.Redirected_;
       });
   return static_cast<std::size_t>(Accepted) >= MaxInboundLinks;
 }
 
 /// Closes links opened to others than the wanted peers, to seeds for example,
 /// once those are linked to: the number of links stays bounded everywhere.
-void GossipNode::Impl::closeUnwanted(const std::vector<Member> &Wanted) {
-  auto IsWanted = [&](const std::string &Name) {
-    return std::any_of(Wanted.begin(), Wanted.end(),
+void GossipNode::Impl::closeSurplusLinks(const std::vector<Member> &Chosen) {
+  auto IsChosen = [&](const std::string &Name) {
+    return std::any_of(Chosen.begin(), Chosen.end(),
                        [&](const Member &M) { return M.Name_ == Name; });
   };
-  if (Wanted.size() < OutboundLinks)
+  if (Chosen.size() < OutboundLinks)
     return;
-  for (const Member &M : Wanted)
+  for (const Member &M : Chosen)
     if (!linkedTo(M.Name_))
       return;
-  for (const auto &[Which, L] : Links_)
-    if (L.Outbound_ && !L.Peer_.empty() && !IsWanted(L.Peer_))
-      Hooks_.Close_(Which);
+  for (const auto &[Link, L] : Links_)
+    if (L.Outbound_ && !L.Peer_.empty() && !IsChosen(L.Peer_))
+      Hooks_.Close_(Link);
 }
 
 void GossipNode::Impl::connect(const Endpoint &Control) {
--- a/src/news-parts.cc
+++ b/src/news-parts.cc
@@ -10,8 +10,8 @@
 
 /// As many of \p Wanted as have about \p Upstreams of \p Listed, from a part on
 /// that differs between balancers: else all ask for the same ones first.
-ListParts firstOf(const ListParts &Wanted, std::uint64_t From,
-                  std::size_t Upstreams, std::size_t Listed) {
+ListParts selectParts(const ListParts &Wanted, std::uint64_t From,
+                      std::size_t Upstreams, std::size_t Listed) {
   std::size_t Most =
       ListPartCount * Upstreams / std::max<std::size_t>(Listed, 1);
   Most = std::max<std::size_t>(Most, 1);
@@ -28,41 +28,41 @@
 
 /// Asks a peer for parts that it has and that nobody else was asked for: none
 /// comes twice, and no balancer sends the whole list to all.
-void GossipNode::Impl::askForParts(MonoTime Now, LinkId Which) {
-  GossipLink &L = Links_[Which];
-  if (L.AskedParts_.any() && Now < L.AskedPartsUntil_)
+void GossipNode::Impl::requestParts(MonoTime Now, LinkId Link) {
+  GossipLink &L = Links_[Link];
+  if (L.RequestedParts_.any() && Now < L.PartsRequestDeadline_)
     return;
   ListParts Wanted = L.PeerParts_ & ~Parts_;
   for (const auto &[Other, Of] : Links_)
-    if (Other != Which && Now < Of.AskedPartsUntil_)
-      Wanted &= ~Of.AskedParts_;
+    if (Other != Link && Now < Of.PartsRequestDeadline_)
+      Wanted &= ~Of.RequestedParts_;
   if (Wanted.none())
     return;
-  L.AskedParts_ =
-      firstOf(Wanted, Score_ + raw(Which), UpstreamsPerRequest, L.peerList());
-  L.AskedPartsUntil_ = Now + RequestTimeout;
-  L.Questions_.push_back(false);
-  Version Ours = Routing_ ? Routing_->Version_ : 0;
-  Hooks_.Send_(Which,
-               StateRequest{Ours, 0, false, L.AskedParts_, std::nullopt});
+  L.RequestedParts_ = selectParts(Wanted, Score_ + raw(Link),
+                                  UpstreamsPerRequest, L.estimatedListSize());
+  L.PartsRequestDeadline_ = Now + RequestTimeout;
+  L.PendingRequests_.push_back(false);
+  Version OwnVersion = Routing_ ? Routing_->Version_ : 0;
+  Hooks_.Send_(Link, StateRequest{OwnVersion, 0, false, L.RequestedParts_,
+                                  std::nullopt});
 }
 
-void GossipNode::Impl::takeParts(MonoTime Now, LinkId Which,
-                                 const StateUpdate &M) {
-  GossipLink &L = Links_[Which];
-  L.AskedParts_.reset();
-  if (!bringsParts(M.Parts_))
+void GossipNode::Impl::handleParts(MonoTime Now, LinkId Link,
+                                   const StateUpdate &M) {
+  GossipLink &L = Links_[Link];
+  L.RequestedParts_.reset();
+  if (!hasMissingParts(M.Parts_))
     return;
   apply(Now, M.Routing_, M.Upstreams_, M.Evacuations_);
   addParts(Now, M.Parts_);
-  if (startsByParts(L))
-    askForParts(Now, Which);
+  if (startsFromParts(L))
+    requestParts(Now, Link);
 }
 
 /// Whether any of these parts is still missing. Another copy of one that is
 /// here may name upstreams that have ended since, and its digest may be on its
 /// way to a peer that will find nothing absent.
-bool GossipNode::Impl::bringsParts(const ListParts &Parts) const {
+bool GossipNode::Impl::hasMissingParts(const ListParts &Parts) const {
   return List_.through() == 0 && (Parts & ~Parts_).any();
 }
 
@@ -71,12 +71,12 @@
 void GossipNode::Impl::addParts(MonoTime Now, const ListParts &Parts) {
   Parts_ |= Parts;
   if (List_.through() == 0 &&
-      (Parts_.count() >= 2 * ToldParts_ || Parts_.all()))
-    beatAll(Now);
+      (Parts_.count() >= 2 * AnnouncedParts_ || Parts_.all()))
+    sendHeartbeats(Now);
 }
 
 /// With all parts here a peer that knows a revision tells the differences.
-std::optional<PartDigests> GossipNode::Impl::digestsToSend() const {
+std::optional<PartDigests> GossipNode::Impl::requestDigests() const {
   if (List_.through() != 0 || !Parts_.all())
     return std::nullopt;
   return List_.digests();
--- a/src/news.cc
+++ b/src/news.cc
@@ -12,26 +12,26 @@
 
 /// Peers that a start asks which upstreams have ended lately: all that ran
 /// before know the same, and one or two of three may have just started too.
-constexpr std::size_t AskedForEnded = 3;
+constexpr std::size_t MaxEndedRequests = 3;
 
 } // namespace
 
-void GossipNode::Impl::received(MonoTime Now, LinkId Which,
+void GossipNode::Impl::received(MonoTime Now, LinkId Link,
                                 const GossipMessage &M) {
-  auto Known = Links_.find(Which);
+  auto Known = Links_.find(Link);
   if (Known == Links_.end())
     return;
-  Known->second.SilentAt_ = Now + LinkTimeout;
-  std::visit([&](const auto &Typed) { take(Now, Which, Typed); }, M);
+  Known->second.ExpiresAt_ = Now + LinkTimeout;
+  std::visit([&](const auto &Typed) { handle(Now, Link, Typed); }, M);
 }
 
-void GossipNode::Impl::take(MonoTime Now, LinkId Which,
-                            const PeerHeartbeat &M) {
+void GossipNode::Impl::handle(MonoTime Now, LinkId Link,
+                              const PeerHeartbeat &M) {
   if (M.Sender_.Name_ == Options_.Self_.Name_)
-    return Hooks_.Close_(Which); // a seed that is this process itself
-  GossipLink &L = Links_[Which];
+    return Hooks_.Close_(Link); // a seed that is this process itself
+  GossipLink &L = Links_[Link];
   L.Peer_ = M.Sender_.Name_;
-  L.LastHeard_ = M.Sequence_;
+  L.LastReceivedSequence_ = M.Sequence_;
   Connecting_.erase(M.Sender_.Control_);
   if (M.Leaving_)
     Members_.remove(M.Sender_.Name_);
@@ -39,27 +39,27 @@
     Members_.learn(Now, M.Sender_);
   for (const Member &Told : M.Members_)
     Members_.learn(Now, Told);
-  noteArrival(Now, M);
-  takeLiving(Now, L, M);
-  takeClaim(Now, L, M);
-  askIfBehind(Now, Which, M);
-  closeSpare(Which, M.Sender_.Name_);
-  if (L.SentOn_)
-    Hooks_.Close_(Which); // it has been told of members by now
+  notifyIfJoined(Now, M);
+  acceptFirstAlive(Now, L, M);
+  acceptConfirmation(Now, L, M);
+  requestIfBehind(Now, Link, M);
+  closeDuplicate(Link, M.Sender_.Name_);
+  if (L.Redirected_)
+    Hooks_.Close_(Link); // it has been told of members by now
 }
 
-void GossipNode::Impl::noteArrival(MonoTime Now, const PeerHeartbeat &M) {
-  Micros Present = std::chrono::milliseconds(M.UptimeMs_);
-  if (Hooks_.OnPeerJoined_ && Present < RecentStartAge)
-    Hooks_.OnPeerJoined_(Now - Present);
+void GossipNode::Impl::notifyIfJoined(MonoTime Now, const PeerHeartbeat &M) {
+  Micros Uptime = std::chrono::milliseconds(M.UptimeMs_);
+  if (Hooks_.OnPeerJoined_ && Uptime < RecentStartAge)
+    Hooks_.OnPeerJoined_(Now - Uptime);
 }
 
-void GossipNode::Impl::takeClaim(MonoTime Now, const GossipLink &L,
-                                 const PeerHeartbeat &M) {
+void GossipNode::Impl::acceptConfirmation(MonoTime Now, const GossipLink &L,
+                                          const PeerHeartbeat &M) {
   if (M.StateAgeMs_ == PeerHeartbeat::UnknownAgeMs)
     return;
-  Version Ours = Routing_ ? Routing_->Version_ : 0;
-  if (Ours < M.Routing_ || List_.through() < M.Through_)
+  Version OwnVersion = Routing_ ? Routing_->Version_ : 0;
+  if (OwnVersion < M.Routing_ || List_.through() < M.Through_)
     return; // it speaks of more than what is known here
   if (Now - L.sentAt(M.EchoedSequence_) > MaxEchoAge) {
     ++Counters_.StaleConfirmations_;
@@ -72,136 +72,140 @@
   confirm(Now, AsOf);
   // Told at once: word of a better reader that waits at each hop for the next
   // confirmation is out of date after three, and two go on reading.
-  if (Reader_.Score_ < ToldReader_)
-    beatAll(Now);
+  if (FirstReader_.Score_ < AnnouncedReader_)
+    sendHeartbeats(Now);
 }
 
 void GossipNode::Impl::noteReader(std::uint64_t Score, MonoTime At,
                                   MonoTime Now) {
-  Reader_.note(Score, At, Now, TakeoverAge);
-  if (Reader_.Score_ < Score_)
-    Reading_ = false;
+  FirstReader_.update(Score, At, Now, TakeoverAge);
+  if (FirstReader_.Score_ < Score_)
+    IsReader_ = false;
 }
 
-void GossipNode::Impl::noteLiving(MonoTime Now, std::uint64_t Score,
-                                  MonoTime At) {
-  bool OthersBefore = Living_.Score_ < Score_;
-  Living_.note(Score, At, Now, LinkTimeout);
-  if (OthersBefore && Living_.Score_ >= Score_)
-    FirstSince_ = Now;
+void GossipNode::Impl::noteAlive(MonoTime Now, std::uint64_t Score,
+                                 MonoTime At) {
+  bool OthersBefore = FirstAlive_.Score_ < Score_;
+  FirstAlive_.update(Score, At, Now, LinkTimeout);
+  if (OthersBefore && FirstAlive_.Score_ >= Score_)
+    FirstAliveSince_ = Now;
 }
 
 /// Word of the first that lives counts if it was provably said a moment ago: a
 /// balancer that is cut off, alone or with others, must not wait for it.
-void GossipNode::Impl::takeLiving(MonoTime Now, const GossipLink &L,
-                                  const PeerHeartbeat &M) {
+void GossipNode::Impl::acceptFirstAlive(MonoTime Now, const GossipLink &L,
+                                        const PeerHeartbeat &M) {
   bool Recent = Now - L.sentAt(M.EchoedSequence_) <= MaxEchoAge;
   if (!Recent || M.Leaving_)
     return;
-  noteLiving(Now, detail::readerScore(M.Sender_.Name_), Now);
+  noteAlive(Now, detail::readerScore(M.Sender_.Name_), Now);
   if (M.FirstAliveAgeMs_ != PeerHeartbeat::UnknownAgeMs)
-    noteLiving(Now, M.FirstAliveScore_,
-               Now - std::chrono::milliseconds(M.FirstAliveAgeMs_));
+    noteAlive(Now, M.FirstAliveScore_,
+              Now - std::chrono::milliseconds(M.FirstAliveAgeMs_));
   // Passed on at once: waiting at each hop for the next heartbeat, it would be
   // too old after three.
-  bool Fresher = Living_.At_ - ToldLivingAt_ > AliveUpdateStep;
-  if (Fresher && !Members_.hearsOfAll())
-    beatAll(Now);
+  bool Fresher = FirstAlive_.At_ - AnnouncedAliveAt_ > AliveUpdateStep;
+  if (Fresher && !Members_.tracksAllMembers())
+    sendHeartbeats(Now);
 }
 
 void GossipNode::Impl::confirm(MonoTime Now, MonoTime AsOf) {
-  if (AsOf <= KnownAsOf_)
+  if (AsOf <= ConfirmedAsOf_)
     return;
-  KnownAsOf_ = AsOf;
+  ConfirmedAsOf_ = AsOf;
   Hooks_.OnConfirmed_(AsOf);
-  if (KnownAsOf_ - ToldAsOf_ > ConfirmationStep)
-    beatAll(Now);
+  if (ConfirmedAsOf_ - AnnouncedAsOf_ > ConfirmationStep)
+    sendHeartbeats(Now);
 }
 
-void GossipNode::Impl::askIfBehind(MonoTime Now, LinkId Which,
-                                   const PeerHeartbeat &M) {
-  Version Ours = Routing_ ? Routing_->Version_ : 0;
-  bool Behind = Ours < M.Routing_ || List_.through() < M.Through_;
-  GossipLink &L = Links_[Which];
+void GossipNode::Impl::requestIfBehind(MonoTime Now, LinkId Link,
+                                       const PeerHeartbeat &M) {
+  Version OwnVersion = Routing_ ? Routing_->Version_ : 0;
+  bool Behind = OwnVersion < M.Routing_ || List_.through() < M.Through_;
+  GossipLink &L = Links_[Link];
   L.PeerParts_ = M.Through_ == 0 ? M.Parts_ : allParts();
-  L.PeerListed_ = M.UpstreamCount_;
-  if (startsByParts(L))
-    return askForParts(Now, Which);
-  bool WantsEnded = EndedAnswers_ < AskedForEnded && !L.AskedEnded_ &&
-                    detail::has(detail::Mechanism::EndedUpstreams);
-  if ((!Behind && !WantsEnded) || Now < AskAgainAt_)
+  L.PeerUpstreamCount_ = M.UpstreamCount_;
+  if (startsFromParts(L))
+    return requestParts(Now, Link);
+  bool IncludeEnded = EndedResponses_ < MaxEndedRequests &&
+                      !L.RequestedEnded_ &&
+                      detail::has(detail::Mechanism::EndedUpstreams);
+  if ((!Behind && !IncludeEnded) || Now < NextRequestAt_)
     return;
-  AskAgainAt_ = Now + RequestTimeout;
-  L.AskedAt_ = Now;
-  L.AskedEnded_ = L.AskedEnded_ || WantsEnded;
-  L.Questions_.push_back(WantsEnded);
+  NextRequestAt_ = Now + RequestTimeout;
+  L.RequestedAt_ = Now;
+  L.RequestedEnded_ = L.RequestedEnded_ || IncludeEnded;
+  L.PendingRequests_.push_back(IncludeEnded);
   Hooks_.Send_(
-      Which,
-      StateRequest{Ours, List_.through(), WantsEnded, {}, digestsToSend()});
+      Link,
+      StateRequest{
+          OwnVersion, List_.through(), IncludeEnded, {}, requestDigests()});
 }
 
-void GossipNode::Impl::take(MonoTime Now, LinkId Which, const StateRequest &M) {
-  StateUpdate Answer;
-  Answer.StateAgeMs_ = knownAgeMs(Now);
+void GossipNode::Impl::handle(MonoTime Now, LinkId Link,
+                              const StateRequest &M) {
+  StateUpdate Response;
+  Response.StateAgeMs_ = stateAgeMs(Now);
   if (Routing_ && Routing_->Version_ > M.Routing_)
-    Answer.Routing_ = Routing_;
-  Answer.Parts_ = M.Parts_ & partsHere();
+    Response.Routing_ = Routing_;
+  Response.Parts_ = M.Parts_ & heldParts();
   if (M.Parts_.any())
-    Answer.Upstreams_ = List_.parts(M.Parts_);
+    Response.Upstreams_ = List_.parts(M.Parts_);
   else if (M.Digests_)
-    Answer.Upstreams_ = List_.sinceDigests(*M.Digests_);
+    Response.Upstreams_ = List_.sinceDigests(*M.Digests_);
   else
-    Answer.Upstreams_ = List_.since(M.Through_);
-  Answer.Evacuations_ = Evacuations_.all();
+    Response.Upstreams_ = List_.since(M.Through_);
+  Response.Evacuations_ = Evacuations_.all();
   if (M.IncludeEnded_)
-    Answer.Upstreams_.Ended_ = List_.ended();
+    Response.Upstreams_.Ended_ = List_.ended();
   ++Counters_.UpdatesSent_;
-  Hooks_.Send_(Which, Answer);
+  Hooks_.Send_(Link, Response);
 }
 
-void GossipNode::Impl::take(MonoTime Now, LinkId Which, const StateUpdate &M) {
+void GossipNode::Impl::handle(MonoTime Now, LinkId Link, const StateUpdate &M) {
   ++Counters_.UpdatesReceived_;
-  if (Links_[Which].takeAnswer())
-    ++EndedAnswers_;
+  if (Links_[Link].popRequest())
+    ++EndedResponses_;
   if (M.Parts_.any())
-    return takeParts(Now, Which, M);
-  AskAgainAt_ = Now;
+    return handleParts(Now, Link, M);
+  NextRequestAt_ = Now;
   if (!apply(Now, M.Routing_, M.Upstreams_, M.Evacuations_)) {
     ++Counters_.RevisionGaps_; // the next heartbeat shows that we are behind
     return;
   }
   // The answer was made after the question was sent.
-  bool Proved = Now - Links_[Which].AskedAt_ <= MaxEchoAge;
-  if (Proved && M.StateAgeMs_ != PeerHeartbeat::UnknownAgeMs)
+  bool Recent = Now - Links_[Link].RequestedAt_ <= MaxEchoAge;
+  if (Recent && M.StateAgeMs_ != PeerHeartbeat::UnknownAgeMs)
     confirm(Now, Now - std::chrono::milliseconds(M.StateAgeMs_));
-  beatAll(Now);
+  sendHeartbeats(Now);
 }
 
-void GossipNode::Impl::take(MonoTime Now, LinkId Which,
-                            const UpstreamWarning &M) {
-  if (tell(Now, M, &Which))
+void GossipNode::Impl::handle(MonoTime Now, LinkId Link,
+                              const UpstreamWarning &M) {
+  if (forwardWarning(Now, M, &Link))
     Hooks_.OnWarning_(M);
 }
 
 /// Sends a warning on every link but the one it came from; false when it went
 /// through here a moment ago.
-bool GossipNode::Impl::tell(MonoTime Now, const UpstreamWarning &M,
-                            const LinkId *From) {
-  auto Known = Told_.find(M);
-  bool Repeated = Known != Told_.end() && Now < Known->second;
+bool GossipNode::Impl::forwardWarning(MonoTime Now, const UpstreamWarning &M,
+                                      const LinkId *From) {
+  auto Known = RecentWarnings_.find(M);
+  bool Repeated = Known != RecentWarnings_.end() && Now < Known->second;
   auto SameKind = [&M](const auto &Item) {
     return Item.first.Kind_ == M.Kind_;
   };
-  auto Told = std::count_if(Told_.begin(), Told_.end(), SameKind);
+  auto Told =
+      std::count_if(RecentWarnings_.begin(), RecentWarnings_.end(), SameKind);
   if (!detail::has(detail::Mechanism::Warnings) || Repeated ||
       static_cast<std::size_t>(Told) >= MaxWarningsPerInterval)
     return false;
-  Told_[M] = Now + WarningInterval;
-  for (const auto &[Which, L] : Links_) {
-    if (From && *From == Which)
+  RecentWarnings_[M] = Now + WarningInterval;
+  for (const auto &[Link, L] : Links_) {
+    if (From && *From == Link)
       continue;
     ++Counters_.WarningsSent_;
-    Hooks_.Send_(Which, M);
+    Hooks_.Send_(Link, M);
   }
   return true;
 }
@@ -221,9 +225,9 @@
   // a hall that is evacuated by the same answer. Not where changes are missing:
   // upstreams of a hall that is taken back may have turned cold.
   applyEvacuations(Evacuations);
-  bool Away = !First && Now - KnownAsOf_ > OutageAge;
+  bool Outage = !First && Now - ConfirmedAsOf_ > OutageAge;
   if (First || !Changes.empty())
-    Hooks_.OnUpstreams_(Changes, Away);
+    Hooks_.OnUpstreams_(Changes, Outage);
   return true;
 }
 
@@ -235,29 +239,30 @@
 }
 
 void GossipNode::Impl::staleListRead(MonoTime Now,
-                                     const ConfigResponse &Answer) {
-  ListParts Parts = Answer.Parts_.value_or(allParts());
-  bool Missing = bringsParts(Parts);
-  apply(Now, Answer.Routing_, Missing ? Answer.Batch_ : UpstreamBatch{},
-        Answer.Evacuations_);
+                                     const ConfigResponse &Response) {
+  ListParts Parts = Response.Parts_.value_or(allParts());
+  bool Missing = hasMissingParts(Parts);
+  apply(Now, Response.Routing_, Missing ? Response.Batch_ : UpstreamBatch{},
+        Response.Evacuations_);
   addParts(Now, Parts);
 }
 
-bool GossipNode::Impl::readSucceeded(MonoTime Now, const ConfigResponse &Answer,
+bool GossipNode::Impl::readSucceeded(MonoTime Now,
+                                     const ConfigResponse &Response,
                                      MonoTime AsOf) {
   Revision Before = List_.through();
-  if (!apply(Now, Answer.Routing_, Answer.Batch_, Answer.Evacuations_))
+  if (!apply(Now, Response.Routing_, Response.Batch_, Response.Evacuations_))
     return false;
   // Else those that start together all go on reading until they hear of a
   // better reader.
-  if (!EverRead_)
-    ReadAgainFrom_ = Now + FirstReadPause;
-  EverRead_ = true;
+  if (!HasRead_)
+    ReadPauseUntil_ = Now + FirstReadPause;
+  HasRead_ = true;
   noteReader(Score_, Now, Now);
-  Reading_ = Reader_.Score_ == Score_;
+  IsReader_ = FirstReader_.Score_ == Score_;
   confirm(Now, AsOf);
   if (List_.through() != Before)
-    beatAll(Now);
+    sendHeartbeats(Now);
   return true;
 }
 
@@ -267,53 +272,55 @@
   for (const Member &M : Members_.all())
     View.Others_.push_back(detail::readerScore(M.Name_));
   View.Balancers_ = fleetSize();
-  View.Settled_ = !Leaving_ && Now - PresentSince_ >= RecentStartAge;
+  View.Settled_ = !Leaving_ && Now - RunningSince_ >= RecentStartAge;
   return View;
 }
 
 /// A list takes so long that knowledge grows old meanwhile: without word of it
 /// all those next in the order would list, too.
 void GossipNode::Impl::listReadStarted(MonoTime Now) {
-  if (KnownAsOf_ == MonoTime{})
+  if (ConfirmedAsOf_ == MonoTime{})
     return;
   noteReader(Score_, Now, Now);
-  beatAll(Now);
+  sendHeartbeats(Now);
 }
 
 MonoTime GossipNode::Impl::nextReadAt() const {
-  bool ReadsAnyway = !detail::has(detail::Mechanism::OneReader);
-  if (ReadsAnyway || Reading_)
-    return ReadAgainFrom_;
-  if (KnownAsOf_ == MonoTime{}) { // peers are about to tell
-    auto Place = static_cast<Micros::rep>(Members_.placeOf(Score_));
-    return std::max(ReadAgainFrom_, PresentSince_ + StartupReadStep * Place);
+  bool AlwaysReads = !detail::has(detail::Mechanism::OneReader);
+  if (AlwaysReads || IsReader_)
+    return ReadPauseUntil_;
+  if (ConfirmedAsOf_ == MonoTime{}) { // peers are about to tell
+    auto Rank = static_cast<Micros::rep>(Members_.rankOf(Score_));
+    return std::max(ReadPauseUntil_, RunningSince_ + StartupReadStep * Rank);
   }
-  bool OtherReads = Reader_.Score_ < Score_;
-  MonoTime ToldAt = OtherReads ? std::max(KnownAsOf_, Reader_.At_) : KnownAsOf_;
-  return std::max(ReadAgainFrom_, turnToRead(ToldAt));
+  bool OtherReads = FirstReader_.Score_ < Score_;
+  MonoTime ToldAt =
+      OtherReads ? std::max(ConfirmedAsOf_, FirstReader_.At_) : ConfirmedAsOf_;
+  return std::max(ReadPauseUntil_, takeoverTime(ToldAt));
 }
 
 /// When a balancer should read that was told something new at \p ToldAt last.
 /// Its place in the order counts while one before it lives, so that those had
 /// their turn. In a part of the fleet that is cut off from them its own members
 /// read: within a rule's bound, whatever their places in the whole fleet.
-MonoTime GossipNode::Impl::turnToRead(MonoTime ToldAt) const {
-  std::size_t Place = Members_.placeOf(Score_);
-  if (Place == 0)
-    return KnownAsOf_;
+MonoTime GossipNode::Impl::takeoverTime(MonoTime ToldAt) const {
+  std::size_t Rank = Members_.rankOf(Score_);
+  if (Rank == 0)
+    return ConfirmedAsOf_;
   MonoTime From = ToldAt + TakeoverAge;
   if (Links_.empty())
     return From;
-  bool FirstHere = Living_.Score_ >= Score_ && !Members_.hearsOfAll();
-  if (FirstHere)
-    return std::max(From, FirstSince_ + cutOffSpread());
+  bool FirstInPartition =
+      FirstAlive_.Score_ >= Score_ && !Members_.tracksAllMembers();
+  if (FirstInPartition)
+    return std::max(From, FirstAliveSince_ + partitionJitter());
   std::size_t Steps =
-      Members_.hearsOfAll() ? std::min(Place, MaxTakeoverSteps) : Place;
+      Members_.tracksAllMembers() ? std::min(Rank, MaxTakeoverSteps) : Rank;
   return From + TakeoverStep * static_cast<Micros::rep>(Steps);
 }
 
 /// Keeps those apart that hear in the same moment of none before them.
-Micros GossipNode::Impl::cutOffSpread() const {
+Micros GossipNode::Impl::partitionJitter() const {
   auto Share = std::ldexp(static_cast<double>(Score_), -64);
   return Micros(static_cast<Micros::rep>(
       Share * static_cast<double>(PartitionJitter.count())));
@@ -339,17 +346,17 @@
 void GossipNode::received(MonoTime Now, LinkId Link, const GossipMessage &M) {
   Impl_->received(Now, Link, M);
 }
-bool GossipNode::readSucceeded(MonoTime Now, const ConfigResponse &Answer,
+bool GossipNode::readSucceeded(MonoTime Now, const ConfigResponse &Response,
                                MonoTime AsOf) {
-  return Impl_->readSucceeded(Now, Answer, AsOf);
+  return Impl_->readSucceeded(Now, Response, AsOf);
 }
 void GossipNode::warn(MonoTime Now, const UpstreamWarning &M) {
   Impl_->warn(Now, M);
 }
 void GossipNode::readFailed() { Impl_->readFailed(); }
 void GossipNode::listReadStarted(MonoTime Now) { Impl_->listReadStarted(Now); }
-void GossipNode::staleListRead(MonoTime Now, const ConfigResponse &Answer) {
-  Impl_->staleListRead(Now, Answer);
+void GossipNode::staleListRead(MonoTime Now, const ConfigResponse &Response) {
+  Impl_->staleListRead(Now, Response);
 }
 void GossipNode::setLeaving(MonoTime Now) { Impl_->setLeaving(Now); }
 void GossipNode::setSeeds(std::vector<Endpoint> Seeds) {
--- a/src/peer-choice.cc
+++ b/src/peer-choice.cc
@@ -7,12 +7,12 @@
 namespace {
 
 /// Keeps the order of reading apart from other uses of a name's hash.
-constexpr std::uint64_t ReadOrder = 0x72656164;
+constexpr std::uint64_t ReaderScoreSalt = 0x72656164;
 
 } // namespace
 
 std::vector<Member> choosePeers(std::vector<Member> All, const Member &Self,
-                                std::size_t Limit, std::size_t FarLimit) {
+                                std::size_t Limit, std::size_t RemoteLimit) {
   std::uint64_t Salt = nameId(Self.Name_);
   auto Score = [Salt](const Member &M) {
     return hashPair(Salt, nameId(M.Name_));
@@ -20,23 +20,23 @@
   std::sort(All.begin(), All.end(), [&](const Member &A, const Member &B) {
     return Score(A) > Score(B);
   });
-  auto Far =
+  auto Remote =
       std::stable_partition(All.begin(), All.end(), [&](const Member &M) {
         return M.DataHall_ == Self.DataHall_;
       });
-  auto NearCount = static_cast<std::size_t>(Far - All.begin());
-  std::size_t FarCount = All.size() - NearCount;
-  std::size_t FarShare = std::min(FarCount, FarLimit);
-  std::size_t NearShare = std::min(NearCount, Limit - FarShare);
-  FarShare = std::min(FarCount, Limit - NearShare);
+  auto LocalCount = static_cast<std::size_t>(Remote - All.begin());
+  std::size_t RemoteCount = All.size() - LocalCount;
+  std::size_t RemoteShare = std::min(RemoteCount, RemoteLimit);
+  std::size_t LocalShare = std::min(LocalCount, Limit - RemoteShare);
+  RemoteShare = std::min(RemoteCount, Limit - LocalShare);
   std::vector<Member> Chosen(All.begin(),
-                             All.begin() + static_cast<long>(NearShare));
-  Chosen.insert(Chosen.end(), Far, Far + static_cast<long>(FarShare));
+                             All.begin() + static_cast<long>(LocalShare));
+  Chosen.insert(Chosen.end(), Remote, Remote + static_cast<long>(RemoteShare));
   return Chosen;
 }
 
 std::uint64_t readerScore(const std::string &Name) {
-  return hashPair(nameId(Name), ReadOrder);
+  return hashPair(nameId(Name), ReaderScoreSalt);
 }
 
 } // namespace thymewall::detail
--- a/test/evacuation-test.cc
+++ b/test/evacuation-test.cc
@@ -153,7 +153,7 @@
           "peer") {
   for (std::size_t Count : {8U, 90U}) {
     GossipFleet Fleet(Count);
-    Fleet.setStaleBy(3s);
+    Fleet.setStaleListAge(3s);
     Fleet.run(30s);
     Fleet.publishEvacuation("hall-1", true);
     Fleet.run(31s);
@@ -174,7 +174,8 @@
   rc::check([] {
     auto Count = *rc::gen::inRange<std::size_t>(3, 24);
     GossipFleet Fleet(Count);
-    Fleet.setStaleBy(std::chrono::milliseconds(*rc::gen::inRange(0, 3000)));
+    Fleet.setStaleListAge(
+        std::chrono::milliseconds(*rc::gen::inRange(0, 3000)));
     Micros Now = 12s;
     Fleet.run(Now);
     Halls Truth;
@@ -184,12 +185,12 @@
       std::size_t A = Any();
       std::size_t B = Any();
       int Trouble = *rc::gen::inRange(0, 6);
-      Fleet.setAsleep(A, Trouble == 0);
-      Fleet.setTurnedAway(A, Trouble == 1);
-      Fleet.setSilent(A, Trouble == 2);
+      Fleet.setSuspended(A, Trouble == 0);
+      Fleet.setRefused(A, Trouble == 1);
+      Fleet.setUnresponsive(A, Trouble == 2);
       Fleet.setServiceDown(Trouble == 3);
       if (Trouble == 4 && A != B)
-        Fleet.setHeldUp(A, B, true);
+        Fleet.setBlocked(A, B, true);
       if (Trouble == 5)
         Fleet.kill(A);
       Now += std::chrono::milliseconds(*rc::gen::inRange(0, 1500));
@@ -202,12 +203,12 @@
         Truth.erase(Hall);
       Now += std::chrono::milliseconds(*rc::gen::inRange(0, 1500));
       Fleet.run(Now);
-      Fleet.setAsleep(A, false);
-      Fleet.setTurnedAway(A, false);
-      Fleet.setSilent(A, false);
+      Fleet.setSuspended(A, false);
+      Fleet.setRefused(A, false);
+      Fleet.setUnresponsive(A, false);
       Fleet.setServiceDown(false);
       if (Trouble == 4 && A != B)
-        Fleet.setHeldUp(A, B, false);
+        Fleet.setBlocked(A, B, false);
       if (Trouble == 5)
         Fleet.restart(A);
     }
--- a/test/fleet-start-test.cc
+++ b/test/fleet-start-test.cc
@@ -14,13 +14,14 @@
 
 namespace {
 
-constexpr std::size_t UpstreamsOfEach = 30; ///< For each balancer.
+constexpr std::size_t UpstreamsPerBalancer = 30; ///< For each balancer.
 
 /// A fleet that has lost everything it knew, and starts at 3 s.
-class Starting {
+class StartingFleet {
 public:
-  explicit Starting(std::size_t Balancers, std::size_t Each = UpstreamsOfEach)
-      : Fleet_(Balancers, 5), Upstreams_(Balancers * Each) {
+  explicit StartingFleet(std::size_t Balancers,
+                         std::size_t PerBalancer = UpstreamsPerBalancer)
+      : Fleet_(Balancers, 5), Upstreams_(Balancers * PerBalancer) {
     for (std::size_t Which = 0; Which < Balancers; ++Which)
       Fleet_.kill(Which);
     for (std::uint64_t I = 1; I <= Upstreams_; ++I) {
@@ -73,11 +74,11 @@
           "a part of it twice") {
   for (std::size_t Balancers : {std::size_t{80}, std::size_t{160}}) {
     CAPTURE(Balancers);
-    Starting S(Balancers);
+    StartingFleet S(Balancers);
     S.start();
     S.fleet().run(3s + 250ms);
     // Parts until there are 64: the last one may go beyond by its own size.
-    std::size_t List = Balancers * UpstreamsOfEach;
+    std::size_t List = Balancers * UpstreamsPerBalancer;
     std::size_t Read =
         PartReadPlan::MinUpstreamsAtStart + 2 * List / ListPartCount;
     CHECK(S.served() <= Balancers * Read);
@@ -90,7 +91,7 @@
     CHECK(S.fleet().allKnow(R));
     std::size_t Told = 0;
     for (std::size_t Which = 0; Which < Balancers; ++Which)
-      Told += S.fleet().upstreamsTold(Which);
+      Told += S.fleet().upstreamsReceived(Which);
     // A tenth more for what changes meanwhile.
     CHECK(Told <= Balancers * List * 11 / 10);
   }
@@ -99,20 +100,20 @@
 TEST_CASE("links of every balancer stay few, also a seed's") {
   for (std::size_t Balancers : {std::size_t{100}, std::size_t{400}}) {
     CAPTURE(Balancers);
-    Starting S(Balancers, 1);
+    StartingFleet S(Balancers, 1);
     S.start();
     S.fleet().run(5s);
     for (std::size_t Which = 3; Which < Balancers; ++Which)
-      CHECK(S.fleet().mostLinks(Which) <= 60);
+      CHECK(S.fleet().maxLinks(Which) <= 60);
     for (std::size_t Seed = 0; Seed < 3; ++Seed)
-      CHECK(S.fleet().news(Seed).counters().Links_ <= 60);
+      CHECK(S.fleet().gossip(Seed).counters().Links_ <= 60);
   }
 }
 
 TEST_CASE("a fleet whose third is turned away starts by its peers") {
-  Starting S(80);
+  StartingFleet S(80);
   for (std::size_t Which = 0; Which < 80; Which += 3)
-    S.fleet().setTurnedAway(Which, true);
+    S.fleet().setRefused(Which, true);
   S.start();
   S.fleet().run(4s);
   CHECK(S.knowing(0.9) == 80);
@@ -121,7 +122,7 @@
 }
 
 TEST_CASE("an outage during the start makes nobody read the whole list") {
-  Starting S(80);
+  StartingFleet S(80);
   S.fleet().setServiceDown(true);
   S.start();
   S.fleet().run(6s);
@@ -135,7 +136,7 @@
 TEST_CASE("one balancer reads for a fleet that has started") {
   for (std::size_t Balancers : {std::size_t{80}, std::size_t{400}}) {
     CAPTURE(Balancers);
-    Starting S(Balancers, 1);
+    StartingFleet S(Balancers, 1);
     S.start();
     S.fleet().run(8s);
     std::size_t Calls = S.fleet().calls();
@@ -148,7 +149,7 @@
 TEST_CASE("what a balancer tells in a second does not grow with the fleet") {
   for (std::size_t Balancers : {std::size_t{80}, std::size_t{400}}) {
     CAPTURE(Balancers);
-    Starting S(Balancers, 1);
+    StartingFleet S(Balancers, 1);
     S.start();
     S.fleet().run(10s);
     std::size_t Before = S.fleet().bytesSent();
@@ -159,17 +160,17 @@
 }
 
 TEST_CASE("the loss of the history costs a fleet few lists") {
-  Starting S(400, 1);
+  StartingFleet S(400, 1);
   S.start();
   S.fleet().run(10s);
   // Changes that no watch tells, and then nobody can.
   for (std::size_t Which = 0; Which < 400; ++Which)
-    S.fleet().setSilent(Which, true);
+    S.fleet().setUnresponsive(Which, true);
   S.fleet().run(11s);
   S.fleet().publish();
-  S.fleet().loseHistory(1200ms);
+  S.fleet().compactHistory(1200ms);
   for (std::size_t Which = 0; Which < 400; ++Which)
-    S.fleet().setSilent(Which, false);
+    S.fleet().setUnresponsive(Which, false);
   std::size_t Calls = S.fleet().calls();
   S.fleet().run(15s);
   // Those whose turn came in the silent second, a watch and a list each, and
@@ -186,25 +187,25 @@
   for (std::size_t Part : {std::size_t{3}, std::size_t{40}}) {
     CAPTURE(Part);
     constexpr std::size_t Balancers = 400;
-    Starting S(Balancers, 1);
+    StartingFleet S(Balancers, 1);
     S.start();
     S.fleet().run(10s);
     std::vector<std::size_t> CutOff = lastReaders(Balancers, Part);
     for (std::size_t Which : CutOff)
       for (std::size_t Other = 0; Other < Balancers; ++Other)
         if (std::count(CutOff.begin(), CutOff.end(), Other) == 0)
-          S.fleet().setHeldUp(Which, Other, true);
+          S.fleet().setBlocked(Which, Other, true);
     S.fleet().run(11s);
     Revision R = S.fleet().publish();
     S.fleet().run(16s); // 5 s, less than what a routing table may take here
     for (std::size_t Which : CutOff)
-      CHECK(S.fleet().news(Which).through() >= R);
+      CHECK(S.fleet().gossip(Which).through() >= R);
   }
 }
 
 TEST_CASE("while nobody reads, balancers try in turn, not all at once") {
   // Nobody is served, and answers come late: the order of readers is long.
-  Starting S(200, 1);
+  StartingFleet S(200, 1);
   S.start();
   S.fleet().run(8s);
   S.fleet().setServiceDown(true);
@@ -217,17 +218,17 @@
 
 TEST_CASE("a part is read until there are enough upstreams") {
   PartReadPlan Short(7);
-  Short.read(PartReadPlan::MinUpstreamsPerPart - 1);
+  Short.addPart(PartReadPlan::MinUpstreamsPerPart - 1);
   CHECK(Short.listIsShort());
   PartReadPlan Long(7);
-  CHECK(Long.next() == 7);
-  while (!Long.enough()) {
-    Long.read(20);
+  CHECK(Long.nextPart() == 7);
+  while (!Long.hasEnough()) {
+    Long.addPart(20);
     CHECK_FALSE(Long.listIsShort());
   }
   CHECK(Long.parts().count() == 4);
   CHECK(Long.parts().test(7));
   PartReadPlan Empty(0);
-  Empty.read(0);
+  Empty.addPart(0);
   CHECK(Empty.listIsShort());
 }
--- a/test/flow-fleet-test.cc
+++ b/test/flow-fleet-test.cc
@@ -140,14 +140,14 @@
         std::size_t B = Any();
         std::size_t C = Any();
         if (A != B)
-          Fleet.news().setHeldUp(A, B, true);
+          Fleet.news().setBlocked(A, B, true);
         Fleet.kill(C);
         Fleet.run(anyGap());
         Fleet.restart(C);
         Fleet.run(FlowFleet::Started);
         Fleet.sendAll();
         if (A != B)
-          Fleet.news().setHeldUp(A, B, false);
+          Fleet.news().setBlocked(A, B, false);
         break;
       }
       }
--- a/test/intent-reader-test.cc
+++ b/test/intent-reader-test.cc
@@ -12,7 +12,7 @@
 
 MonoTime at(std::chrono::milliseconds Time) { return MonoTime(10s + Time); }
 
-ConfigResponse answer(Outcome What, Revision Through = 0) {
+ConfigResponse response(Outcome What, Revision Through = 0) {
   ConfigResponse Result;
   Result.Outcome_ = What;
   Result.Batch_.Through_ = Through;
@@ -20,15 +20,15 @@
 }
 
 /// An answer that brings one change.
-ConfigResponse news(Revision Through) {
-  ConfigResponse Result = answer(Outcome::Done, Through);
+ConfigResponse withChange(Revision Through) {
+  ConfigResponse Result = response(Outcome::Done, Through);
   Result.Batch_.Changes_.push_back({Incarnation{1}, Through, std::nullopt});
   return Result;
 }
 
 /// A stale list of so many upstreams.
 ConfigResponse staleList(std::size_t Upstreams) {
-  ConfigResponse Result = answer(Outcome::Stale);
+  ConfigResponse Result = response(Outcome::Stale);
   Result.Batch_.Changes_.resize(Upstreams);
   return Result;
 }
@@ -37,9 +37,9 @@
 ConfigReader started() {
   ConfigReader Reader(0);
   REQUIRE(Reader.next(at(-200ms), {}));
-  Reader.answered(at(-100ms), answer(Outcome::Stale), 1);
+  Reader.answered(at(-100ms), response(Outcome::Stale), 1);
   REQUIRE(Reader.next(at(0ms), {}));
-  Reader.answered(at(4ms), answer(Outcome::Done, 5), 1);
+  Reader.answered(at(4ms), response(Outcome::Done, 5), 1);
   return Reader;
 }
 
@@ -48,12 +48,12 @@
 TEST_CASE("a reader lists first and then watches from what it knows") {
   ConfigReader Reader(0);
   REQUIRE(Reader.next(at(-200ms), {}));
-  Reader.answered(at(-100ms), answer(Outcome::Stale), 1);
+  Reader.answered(at(-100ms), response(Outcome::Stale), 1);
   auto First = Reader.next(at(0ms), {});
   REQUIRE(First);
   CHECK(First->Kind_ == Kind::List);
   CHECK_FALSE(Reader.next(at(1ms), {})); // one call at a time
-  Reader.answered(at(4ms), news(7), 1);
+  Reader.answered(at(4ms), withChange(7), 1);
   MonoTime Due = Reader.dueAt({});
   CHECK(Due == at(4ms) + ConfigReader::PauseAfterChange);
   auto Second = Reader.next(Due, {});
@@ -68,12 +68,12 @@
     "known already") {
   ConfigReader Reader = started();
   REQUIRE(Reader.next(at(10ms), {}));
-  Reader.answered(at(14ms), answer(Outcome::HistoryGone), 1);
+  Reader.answered(at(14ms), response(Outcome::HistoryGone), 1);
   Reader.noteRevision(5); // as the process says before each call
   auto Again = Reader.next(at(14ms), {});
   REQUIRE(Again);
   CHECK(Again->Kind_ == Kind::List);
-  Reader.answered(at(20ms), answer(Outcome::Done, 5), 1);
+  Reader.answered(at(20ms), response(Outcome::Done, 5), 1);
   auto Next = Reader.next(at(20ms), {});
   REQUIRE(Next);
   CHECK(Next->Kind_ == Kind::Watch);
@@ -82,7 +82,7 @@
 TEST_CASE("news of peers after a loss of history is watched on from") {
   ConfigReader Reader = started();
   REQUIRE(Reader.next(at(10ms), {}));
-  Reader.answered(at(14ms), answer(Outcome::HistoryGone), 1);
+  Reader.answered(at(14ms), response(Outcome::HistoryGone), 1);
   Reader.noteRevision(9);
   auto Next = Reader.next(at(14ms), {});
   REQUIRE(Next);
@@ -100,10 +100,10 @@
 TEST_CASE("a watch is complete at its end only if it waited without news") {
   ConfigReader Reader = started();
   REQUIRE(Reader.next(at(10ms), {}));
-  Reader.answered(at(516ms), answer(Outcome::Done, 5), 1);
+  Reader.answered(at(516ms), response(Outcome::Done, 5), 1);
   CHECK(Reader.completeAt() == at(510ms));
   REQUIRE(Reader.next(at(516ms), {}));
-  Reader.answered(at(600ms), news(6), 1);
+  Reader.answered(at(600ms), withChange(6), 1);
   CHECK(Reader.completeAt() == at(516ms));
 }
 
@@ -111,33 +111,33 @@
           "without a pause") {
   ConfigReader Reader = started();
   REQUIRE(Reader.next(at(10ms), {}));
-  Reader.answered(at(14ms), answer(Outcome::Done, 5), 1);
+  Reader.answered(at(14ms), response(Outcome::Done, 5), 1);
   CHECK(Reader.dueAt({}) == at(14ms) + ConfigReader::PauseAfterChange);
 }
 
 TEST_CASE("pauses after failures grow with the fleet and end with an answer") {
-  for (std::size_t Fleet : {std::size_t{1}, std::size_t{90}}) {
+  for (std::size_t FleetSize : {std::size_t{1}, std::size_t{90}}) {
     ConfigReader Reader(0.5);
     MonoTime Now = at(0ms);
     Micros Longest{};
     for (int I = 0; I < 12; ++I) {
       REQUIRE(Reader.next(Now, {}));
-      Reader.answered(Now, answer(Outcome::Refused), Fleet);
+      Reader.answered(Now, response(Outcome::Refused), FleetSize);
       Longest = std::max(Longest, Reader.dueAt({}) - Now);
       Now = Reader.dueAt({});
     }
-    Micros Shared = std::chrono::seconds(Fleet) / 8;
+    Micros Shared = std::chrono::seconds(FleetSize) / 8;
     CHECK(Longest <= std::max(ConfigReader::MaxBackoff, Shared));
     CHECK(Longest >= std::max(ConfigReader::MaxBackoff, Shared) / 2);
     REQUIRE(Reader.next(Now, {}));
-    Reader.answered(Now, answer(Outcome::Done, 5), Fleet);
+    Reader.answered(Now, response(Outcome::Done, 5), FleetSize);
     CHECK(Reader.dueAt({}) == Now);
   }
 }
 
 TEST_CASE("a start takes a stale list, waits a moment for peers, then lists") {
-  for (double Spread : {0.0, 0.99}) {
-    ConfigReader Reader(Spread);
+  for (double Jitter : {0.0, 0.99}) {
+    ConfigReader Reader(Jitter);
     auto First = Reader.next(at(0ms), {});
     REQUIRE(First);
     CHECK(First->Kind_ == Kind::StaleList);
@@ -157,7 +157,7 @@
       auto List = Reader.next(Due, {});
       REQUIRE(List);
       CHECK(List->Kind_ == Kind::List);
-      Reader.answered(Due + 4ms, news(7), 1);
+      Reader.answered(Due + 4ms, withChange(7), 1);
       CHECK(Reader.completeAt() == Due);
       auto Next = Reader.next(Reader.dueAt({}), {});
       REQUIRE(Next);
@@ -195,7 +195,7 @@
       auto Next = Reader.next(Now, {});
       REQUIRE(Next);
       Asked.push_back(Next->Kind_);
-      Reader.answered(Now + 4ms, answer(What), 1);
+      Reader.answered(Now + 4ms, response(What), 1);
     }
     // Not at once: a short outage must not make a whole fleet ask for lists.
     std::vector<Kind> Expected(8, Kind::StaleList);
@@ -207,9 +207,9 @@
 TEST_CASE("with parts of a long list a start leaves the rest to peers") {
   ConfigResponse Parts = staleList(69);
   Parts.Parts_ = ListParts{}.set(3);
-  for (double Spread : {0.0, 0.5, 0.99}) {
-    CAPTURE(Spread);
-    ConfigReader Reader(Spread);
+  for (double Jitter : {0.0, 0.5, 0.99}) {
+    CAPTURE(Jitter);
+    ConfigReader Reader(Jitter);
     REQUIRE(Reader.next(at(0ms), {}));
     Reader.answered(at(4ms), Parts, 1);
     MonoTime First = at(4ms) + ConfigReader::PartsExchangeWait;
@@ -237,18 +237,18 @@
 TEST_CASE("no peers do not hurry a call that failed") {
   ConfigReader Reader(0);
   REQUIRE(Reader.next(at(0ms), {}));
-  Reader.answered(at(4ms), answer(Outcome::Failed), 1);
+  Reader.answered(at(4ms), response(Outcome::Failed), 1);
   MonoTime Due = Reader.dueAt({});
   Reader.noPeersFound(at(10ms));
   CHECK(Reader.dueAt({}) == Due);
 }
 
 TEST_CASE("a large fleet that knows something takes turns after a failure") {
-  auto PauseOf = [](double Spread, std::size_t Fleet) {
-    ConfigReader Reader(Spread);
+  auto PauseOf = [](double Jitter, std::size_t FleetSize) {
+    ConfigReader Reader(Jitter);
     Reader.noteRevision(5);
     REQUIRE(Reader.next(at(0ms), {}));
-    Reader.answered(at(0ms), answer(Outcome::Failed, 0), Fleet);
+    Reader.answered(at(0ms), response(Outcome::Failed, 0), FleetSize);
     return Reader.dueAt({}) - at(0ms);
   };
   CHECK(PauseOf(0, 295) <= ConfigReader::InitialBackoff);
--- a/test/member-list-test.cc
+++ b/test/member-list-test.cc
@@ -32,11 +32,11 @@
   MemberList List("a");
   List.learn(at(0ms), member("b"));
   List.learn(at(1s), member("b", 5000)); // older than what is known
-  List.forgetSilent(at(20s));
+  List.expireSilent(at(20s));
   CHECK(List.size() == 1);
   List.learn(at(20s), member("c", 21'000)); // silent for too long already
   CHECK(List.size() == 1);
-  List.forgetSilent(at(20001ms));
+  List.expireSilent(at(20001ms));
   CHECK(List.size() == 0);
 }
 
@@ -59,29 +59,29 @@
     List.learn(at(0ms), member(Name, 1000));
   std::multiset<std::string> Told;
   for (int Beat = 0; Beat < 5; ++Beat)
-    for (const Member &M : List.inTurn(at(500ms), 2)) {
+    for (const Member &M : List.nextMembers(at(500ms), 2)) {
       Told.insert(M.Name_);
       CHECK(M.AgeMs_ == 1500);
     }
   for (const char *Name : {"b", "c", "d", "e", "f"})
     CHECK(Told.count(Name) == 2);
-  CHECK(List.inTurn(at(500ms), 64).size() == 5);
+  CHECK(List.nextMembers(at(500ms), 64).size() == 5);
 }
 
 namespace {
 
 /// How the first \p Count members of a fleet are placed by one that has heard
-/// of the first ones and of each \p HeardOf-th of the others.
+/// of the first ones and of each \p Stride-th of the others.
 struct Sample {
-  Sample(std::size_t Count, std::size_t HeardOf) : List_("lb-self") {
+  Sample(std::size_t Count, std::size_t Stride) : List_("lb-self") {
     std::vector<std::uint64_t> Scores;
     for (std::size_t I = 0; I < Count; ++I)
       Scores.push_back(readerScore("lb-" + std::to_string(I)));
     Sorted_ = Scores;
     std::sort(Sorted_.begin(), Sorted_.end());
-    std::uint64_t LastFirst = Sorted_[MemberList::FirstKnown - 1];
+    std::uint64_t LastFirst = Sorted_[MemberList::FirstReaderCount - 1];
     for (std::size_t I = 0; I < Count; ++I)
-      if (Scores[I] <= LastFirst || I % HeardOf == 0)
+      if (Scores[I] <= LastFirst || I % Stride == 0)
         List_.learn(MonoTime(std::chrono::seconds(100)),
                     {"lb-" + std::to_string(I), "hall",
                      Endpoint::v4(static_cast<std::uint32_t>(I + 1), 8166), 0});
@@ -97,11 +97,11 @@
   for (std::size_t Count : {100U, 585U, 2000U, 12000U}) {
     CAPTURE(Count);
     Sample S(Count, Count / 45);
-    for (std::size_t Place = 0; Place < MemberList::FirstKnown; ++Place)
-      CHECK(S.List_.placeOf(S.Sorted_[Place]) == Place);
+    for (std::size_t Place = 0; Place < MemberList::FirstReaderCount; ++Place)
+      CHECK(S.List_.rankOf(S.Sorted_[Place]) == Place);
     // Of 8 first ones the density is known to about a third, twice that at
     // worst here.
-    std::size_t Last = S.List_.placeOf(S.Sorted_.back());
+    std::size_t Last = S.List_.rankOf(S.Sorted_.back());
     CHECK(Last >= Count * 35 / 100);
     CHECK(Last <= Count * 3);
     CHECK(S.List_.fleetSize() >= Count * 35 / 100);
@@ -112,19 +112,19 @@
 TEST_CASE("where all members are heard of, places and sizes are exact") {
   Sample S(18, 1);
   for (std::size_t Place = 0; Place < 18; ++Place)
-    CHECK(S.List_.placeOf(S.Sorted_[Place]) == Place);
+    CHECK(S.List_.rankOf(S.Sorted_[Place]) == Place);
   CHECK(S.List_.fleetSize() == 19);
-  CHECK(S.List_.firstInTurn(MonoTime(std::chrono::seconds(100))).empty());
+  CHECK(S.List_.nextFirstReader(MonoTime(std::chrono::seconds(100))).empty());
 }
 
 TEST_CASE("the first in the order are told in turn") {
   Sample S(585, 13);
   std::set<std::string> Told;
-  for (std::size_t I = 0; I < MemberList::FirstKnown; ++I)
+  for (std::size_t I = 0; I < MemberList::FirstReaderCount; ++I)
     for (const Member &M :
-         S.List_.firstInTurn(MonoTime(std::chrono::seconds(101))))
+         S.List_.nextFirstReader(MonoTime(std::chrono::seconds(101))))
       Told.insert(M.Name_);
-  CHECK(Told.size() == MemberList::FirstKnown);
+  CHECK(Told.size() == MemberList::FirstReaderCount);
   for (const std::string &Name : Told)
-    CHECK(readerScore(Name) <= S.Sorted_[MemberList::FirstKnown - 1]);
+    CHECK(readerScore(Name) <= S.Sorted_[MemberList::FirstReaderCount - 1]);
 }
--- a/test/news-fleet.cc
+++ b/test/news-fleet.cc
@@ -10,16 +10,16 @@
 
 constexpr Micros LinkDelay = 1ms;
 constexpr Micros ServiceDelay = 4ms;
-constexpr Micros TickEvery = 250ms;
+constexpr Micros TickInterval = 250ms;
 
 /// How often a waiting watch looks for news: the service's own quickness.
-constexpr Micros WatchLook = 5ms;
+constexpr Micros WatchPollInterval = 5ms;
 
 } // namespace
 
 GossipFleet::GossipFleet(std::size_t Count, std::size_t Halls,
-                         MemberHooks Beside)
-    : Nodes_(Count), Halls_(Halls), Beside_(std::move(Beside)) {
+                         MemberHooks Hooks)
+    : Nodes_(Count), Halls_(Halls), MemberHooks_(std::move(Hooks)) {
   Table_.Version_ = 1;
   for (int I = 0; I < 5; ++I)
     publish();
@@ -35,20 +35,20 @@
 
 void GossipFleet::start(std::size_t Which) {
   Node &N = Nodes_[Which];
-  ++N.Life_;
+  ++N.StartCount_;
   N.Alive_ = true;
   N.Routing_ = 0;
   N.Evacuated_.clear();
   N.Listed_.clear();
-  N.UpstreamsTold_ = 0;
+  N.UpstreamsReceived_ = 0;
   N.Links_.clear();
-  N.Held_.clear();
-  if (Beside_.OnStart_)
-    Beside_.OnStart_(Which);
+  N.Deferred_.clear();
+  if (MemberHooks_.OnStart_)
+    MemberHooks_.OnStart_(Which);
   GossipOptions Options{member(Which), {}};
   for (std::size_t Seed = 0; Seed < std::min<std::size_t>(3, size()); ++Seed)
     Options.Seeds_.push_back(member(Seed).Control_);
-  N.News_ = std::make_unique<GossipNode>(Options, hooks(Which));
+  N.Gossip_ = std::make_unique<GossipNode>(Options, hooks(Which));
   N.Reader_ = std::make_unique<ConfigReader>(
       static_cast<double>(Which) / static_cast<double>(Nodes_.size()),
       Which < Options.Seeds_.size());
@@ -79,7 +79,7 @@
 Revision GossipFleet::publishEvacuation(const std::string &DataHall,
                                         bool Evacuated) {
   publish(Incarnation{0}, std::nullopt); // takes a revision
-  HallLog_.push_back({DataHall, Log_.size(), Evacuated});
+  EvacuationLog_.push_back({DataHall, Log_.size(), Evacuated});
   return Log_.size();
 }
 
@@ -94,53 +94,53 @@
   return Next;
 }
 
-void GossipFleet::onNode(std::size_t Which, std::function<void()> Do) {
+void GossipFleet::runOnNode(std::size_t Which, std::function<void()> Do) {
   Node &N = Nodes_[Which];
   if (!N.Alive_)
     return;
-  if (N.Asleep_)
-    N.Held_.push_back(std::move(Do));
+  if (N.Suspended_)
+    N.Deferred_.push_back(std::move(Do));
   else
     Do();
 }
 
-void GossipFleet::setAsleep(std::size_t Which, bool Asleep) {
+void GossipFleet::setSuspended(std::size_t Which, bool Suspended) {
   Node &N = Nodes_[Which];
-  N.Asleep_ = Asleep;
-  if (Asleep)
+  N.Suspended_ = Suspended;
+  if (Suspended)
     return;
   std::vector<std::function<void()>> Held;
-  Held.swap(N.Held_);
+  Held.swap(N.Deferred_);
   for (const auto &Do : Held)
     Do();
 }
 
-void GossipFleet::setTurnedAway(std::size_t Which, bool TurnedAway) {
-  Nodes_[Which].TurnedAway_ = TurnedAway;
+void GossipFleet::setRefused(std::size_t Which, bool Refused) {
+  Nodes_[Which].Refused_ = Refused;
 }
 
-void GossipFleet::setSilent(std::size_t Which, bool Silent) {
-  Nodes_[Which].Silent_ = Silent;
+void GossipFleet::setUnresponsive(std::size_t Which, bool Unresponsive) {
+  Nodes_[Which].Unresponsive_ = Unresponsive;
 }
 
-void GossipFleet::setHeldUp(std::size_t A, std::size_t B, bool HeldUp) {
+void GossipFleet::setBlocked(std::size_t A, std::size_t B, bool Blocked) {
   for (auto Pair : {std::make_pair(A, B), std::make_pair(B, A)}) {
-    if (HeldUp) {
-      HeldUp_.insert(Pair);
+    if (Blocked) {
+      Blocked_.insert(Pair);
       continue;
     }
-    HeldUp_.erase(Pair);
-    for (const auto &Do : HeldPackets_[Pair])
+    Blocked_.erase(Pair);
+    for (const auto &Do : BlockedMessages_[Pair])
       Events_.after(LinkDelay, Do);
-    HeldPackets_[Pair].clear();
+    BlockedMessages_[Pair].clear();
   }
 }
 
-void GossipFleet::silenceConnections() {
+void GossipFleet::blackholeConnections() {
   for (Node &N : Nodes_) {
     for (const auto &[Link, Peer] : N.Links_)
-      N.SilentLinks_.insert(Link);
-    N.CallsSilentFrom_ = Events_.now();
+      N.DeadLinks_.insert(Link);
+    N.CallsLostBefore_ = Events_.now();
   }
 }
 
@@ -165,8 +165,8 @@
   };
   Hooks.OnRouting_ = [this, Which](const RoutingTablePtr &Table) {
     Nodes_[Which].Routing_ = Table->Version_;
-    if (Beside_.OnRouting_)
-      Beside_.OnRouting_(Which, Table);
+    if (MemberHooks_.OnRouting_)
+      MemberHooks_.OnRouting_(Which, Table);
   };
   Hooks.OnUpstreams_ = [this, Which](const std::vector<UpstreamChange> &Changes,
                                      bool MayReturn) {
@@ -177,8 +177,8 @@
       else
         Nodes_[Which].Listed_.erase(Change.Incarnation_);
     }
-    if (Beside_.OnUpstreams_)
-      Beside_.OnUpstreams_(Which, Changes, MayReturn);
+    if (MemberHooks_.OnUpstreams_)
+      MemberHooks_.OnUpstreams_(Which, Changes, MayReturn);
   };
   Hooks.OnEvacuations_ = [this,
                           Which](const std::vector<EvacuationChange> &Changes) {
@@ -188,51 +188,55 @@
       else
         Nodes_[Which].Evacuated_.erase(Change.DataHall_);
     }
-    if (Beside_.OnEvacuations_)
-      Beside_.OnEvacuations_(Which, Changes);
+    if (MemberHooks_.OnEvacuations_)
+      MemberHooks_.OnEvacuations_(Which, Changes);
   };
   Hooks.OnWarning_ = [this, Which](const UpstreamWarning &M) {
     Nodes_[Which].Warnings_.push_back(M);
   };
   Hooks.OnPeerJoined_ = [this, Which](MonoTime At) {
-    if (Beside_.OnPeerJoined_)
-      Beside_.OnPeerJoined_(Which, At);
+    if (MemberHooks_.OnPeerJoined_)
+      MemberHooks_.OnPeerJoined_(Which, At);
   };
   Hooks.OnConfirmed_ = [this, Which](MonoTime AsOf) {
-    noteClaim(Which, AsOf);
-    if (Beside_.OnConfirmed_)
-      Beside_.OnConfirmed_(Which, AsOf);
+    checkConfirmation(Which, AsOf);
+    if (MemberHooks_.OnConfirmed_)
+      MemberHooks_.OnConfirmed_(Which, AsOf);
   };
   return Hooks;
 }
 
-void GossipFleet::noteClaim(std::size_t Which, MonoTime AsOf) {
-  Revision Knows = Nodes_[Which].News_->through();
+void GossipFleet::checkConfirmation(std::size_t Which, MonoTime AsOf) {
+  Revision Knows = Nodes_[Which].Gossip_->through();
   if (Knows < PublishedAt_.size() && PublishedAt_[Knows] < AsOf)
-    WorstClaim_ = std::max(WorstClaim_, AsOf - PublishedAt_[Knows]);
+    WorstConfirmationError_ =
+        std::max(WorstConfirmationError_, AsOf - PublishedAt_[Knows]);
 }
 
 void GossipFleet::connect(std::size_t From, const Endpoint &Control) {
   std::size_t To = Control.Address_[14] * 256U + Control.Address_[15] - 1U;
-  std::uint64_t Life = Nodes_[From].Life_;
-  Events_.after(2 * LinkDelay, [this, From, To, Control, Life] {
-    Node &Here = Nodes_[From];
-    if (!Here.Alive_ || Here.Life_ != Life)
+  std::uint64_t StartCount = Nodes_[From].StartCount_;
+  Events_.after(2 * LinkDelay, [this, From, To, Control, StartCount] {
+    Node &Local = Nodes_[From];
+    if (!Local.Alive_ || Local.StartCount_ != StartCount)
       return;
-    bool Reached = Nodes_[To].Alive_ && HeldUp_.count({From, To}) == 0;
+    bool Reached = Nodes_[To].Alive_ && Blocked_.count({From, To}) == 0;
     if (!Reached)
-      return onNode(From, [this, From, Control] {
-        Nodes_[From].News_->connectFailed(Events_.now(), Control);
+      return runOnNode(From, [this, From, Control] {
+        Nodes_[From].Gossip_->connectFailed(Events_.now(), Control);
       });
-    auto Near = static_cast<LinkId>(++LastLink_);
-    auto Far = static_cast<LinkId>(++LastLink_);
-    Here.Links_[Near] = {To, Far};
-    Nodes_[To].Links_[Far] = {From, Near};
-    for (Node *N : {&Here, &Nodes_[To]})
-      N->MostLinks_ = std::max(N->MostLinks_, N->Links_.size());
-    onNode(From,
-           [=] { Nodes_[From].News_->opened(Events_.now(), Near, true); });
-    onNode(To, [=] { Nodes_[To].News_->opened(Events_.now(), Far, false); });
+    auto LocalLink = static_cast<LinkId>(++LastLink_);
+    auto RemoteLink = static_cast<LinkId>(++LastLink_);
+    Local.Links_[LocalLink] = {To, RemoteLink};
+    Nodes_[To].Links_[RemoteLink] = {From, LocalLink};
+    for (Node *N : {&Local, &Nodes_[To]})
+      N->MaxLinks_ = std::max(N->MaxLinks_, N->Links_.size());
+    runOnNode(From, [=] {
+      Nodes_[From].Gossip_->opened(Events_.now(), LocalLink, true);
+    });
+    runOnNode(To, [=] {
+      Nodes_[To].Gossip_->opened(Events_.now(), RemoteLink, false);
+    });
   });
 }
 
@@ -241,24 +245,24 @@
   auto Known = Nodes_[From].Links_.find(Link);
   if (Known == Nodes_[From].Links_.end())
     return;
-  if (Nodes_[From].SilentLinks_.count(Link) != 0)
+  if (Nodes_[From].DeadLinks_.count(Link) != 0)
     return;
   BytesSent_ += Bytes.size();
-  auto [To, Far] = Known->second;
-  auto Arrive = [this, To = To, Far = Far, Bytes] {
-    onNode(To, [=] {
+  auto [To, RemoteLink] = Known->second;
+  auto Arrive = [this, To = To, RemoteLink = RemoteLink, Bytes] {
+    runOnNode(To, [=] {
       GossipMessage M;
-      bool Open = Nodes_[To].Links_.count(Far) != 0;
+      bool Open = Nodes_[To].Links_.count(RemoteLink) != 0;
       if (Open && decodeGossip(Bytes, Events_.now(), M) == ErrorKind::None) {
         if (const auto *Told = std::get_if<StateUpdate>(&M))
-          Nodes_[To].UpstreamsTold_ += Told->Upstreams_.Changes_.size();
-        Nodes_[To].News_->received(Events_.now(), Far, M);
+          Nodes_[To].UpstreamsReceived_ += Told->Upstreams_.Changes_.size();
+        Nodes_[To].Gossip_->received(Events_.now(), RemoteLink, M);
       }
-      review(To);
+      pollReader(To);
     });
   };
-  if (HeldUp_.count({From, To}) != 0)
-    HeldPackets_[{From, To}].push_back(Arrive);
+  if (Blocked_.count({From, To}) != 0)
+    BlockedMessages_[{From, To}].push_back(Arrive);
   else
     Events_.after(LinkDelay, Arrive);
 }
@@ -267,152 +271,156 @@
   auto Known = Nodes_[Which].Links_.find(Link);
   if (Known == Nodes_[Which].Links_.end())
     return;
-  auto [Peer, Far] = Known->second;
-  bool Silent = Nodes_[Which].SilentLinks_.count(Link) != 0;
+  auto [Peer, RemoteLink] = Known->second;
+  bool Silent = Nodes_[Which].DeadLinks_.count(Link) != 0;
   Nodes_[Which].Links_.erase(Known);
-  onNode(Which, [=] { Nodes_[Which].News_->closed(Events_.now(), Link); });
+  runOnNode(Which, [=] { Nodes_[Which].Gossip_->closed(Events_.now(), Link); });
   if (Silent)
     return; // the other end does not hear of it
-  Nodes_[Peer].Links_.erase(Far);
-  onNode(Peer, [this, Peer = Peer, Far = Far] {
-    Nodes_[Peer].News_->closed(Events_.now(), Far);
+  Nodes_[Peer].Links_.erase(RemoteLink);
+  runOnNode(Peer, [this, Peer = Peer, RemoteLink = RemoteLink] {
+    Nodes_[Peer].Gossip_->closed(Events_.now(), RemoteLink);
   });
 }
 
 void GossipFleet::tick(std::size_t Which) {
-  std::uint64_t Life = Nodes_[Which].Life_;
-  onNode(Which, [=] {
-    if (Nodes_[Which].Life_ != Life)
+  std::uint64_t StartCount = Nodes_[Which].StartCount_;
+  runOnNode(Which, [=] {
+    if (Nodes_[Which].StartCount_ != StartCount)
       return;
-    Nodes_[Which].News_->tick(Events_.now());
-    if (Beside_.OnTick_)
-      Beside_.OnTick_(Which);
-    review(Which);
-    Events_.after(TickEvery, [=] { tick(Which); });
+    Nodes_[Which].Gossip_->tick(Events_.now());
+    if (MemberHooks_.OnTick_)
+      MemberHooks_.OnTick_(Which);
+    pollReader(Which);
+    Events_.after(TickInterval, [=] { tick(Which); });
   });
 }
 
-void GossipFleet::review(std::size_t Which) {
+void GossipFleet::pollReader(std::size_t Which) {
   Node &N = Nodes_[Which];
-  N.Reader_->noteRevision(N.News_->through());
-  auto Call = N.Reader_->next(Events_.now(), N.News_->nextReadAt());
-  if (Call) {
-    if (Call->Kind_ == ConfigRequest::Kind::List)
-      N.News_->listReadStarted(Events_.now());
-    ++(Call->Kind_ == ConfigRequest::Kind::StaleList ? StaleCalls_ : Calls_);
+  N.Reader_->noteRevision(N.Gossip_->through());
+  auto Request = N.Reader_->next(Events_.now(), N.Gossip_->nextReadAt());
+  if (Request) {
+    if (Request->Kind_ == ConfigRequest::Kind::List)
+      N.Gossip_->listReadStarted(Events_.now());
+    ++(Request->Kind_ == ConfigRequest::Kind::StaleList ? StaleCalls_ : Calls_);
     LastReader_ = Which;
-    serve(Which, *Call, Events_.now());
+    serve(Which, *Request, Events_.now());
     return;
   }
   // A call that is due before the next tick.
-  MonoTime Due = N.Reader_->dueAt(N.News_->nextReadAt());
-  if (Due > Events_.now() && Due < Events_.now() + TickEvery)
-    Events_.after(Due - Events_.now(), [=, Life = N.Life_] {
-      if (Nodes_[Which].Life_ == Life)
-        onNode(Which, [=] { review(Which); });
+  MonoTime Due = N.Reader_->dueAt(N.Gossip_->nextReadAt());
+  if (Due > Events_.now() && Due < Events_.now() + TickInterval)
+    Events_.after(Due - Events_.now(), [=, StartCount = N.StartCount_] {
+      if (Nodes_[Which].StartCount_ == StartCount)
+        runOnNode(Which, [=] { pollReader(Which); });
     });
 }
 
-void GossipFleet::serve(std::size_t Which, const ConfigRequest &Call,
+void GossipFleet::serve(std::size_t Which, const ConfigRequest &Request,
                         MonoTime Began) {
-  std::uint64_t Life = Nodes_[Which].Life_;
-  auto Answer = [=](Micros Delay, const ConfigResponse &A) {
+  std::uint64_t StartCount = Nodes_[Which].StartCount_;
+  auto Reply = [=](Micros Delay, const ConfigResponse &Response) {
     Events_.after(Delay, [=] {
-      if (Nodes_[Which].Life_ != Life)
+      if (Nodes_[Which].StartCount_ != StartCount)
         return;
-      onNode(Which, [=] {
-        take(Which, A);
-        review(Which);
+      runOnNode(Which, [=] {
+        handleResponse(Which, Response);
+        pollReader(Which);
       });
     });
   };
-  bool GoneSilent = Began < Nodes_[Which].CallsSilentFrom_;
-  if (Nodes_[Which].Silent_ || GoneSilent)
-    return Answer(Call.GiveUpAt_ - Events_.now(), {});
-  if (Nodes_[Which].TurnedAway_ || ServiceDown_) {
+  bool Lost = Began < Nodes_[Which].CallsLostBefore_;
+  if (Nodes_[Which].Unresponsive_ || Lost)
+    return Reply(Request.GiveUpAt_ - Events_.now(), {});
+  if (Nodes_[Which].Refused_ || ServiceDown_) {
     ConfigResponse Refused;
     Refused.Outcome_ = ConfigResponse::Outcome::Refused;
-    return Answer(ServiceDelay, Refused);
+    return Reply(ServiceDelay, Refused);
   }
-  if (Call.Kind_ == ConfigRequest::Kind::Watch && Call.After_ < HistoryFrom_) {
+  if (Request.Kind_ == ConfigRequest::Kind::Watch &&
+      Request.After_ < HistoryFrom_) {
     ConfigResponse Gone;
     Gone.Outcome_ = ConfigResponse::Outcome::HistoryGone;
-    return Answer(ServiceDelay, Gone);
+    return Reply(ServiceDelay, Gone);
   }
-  bool HasChanges =
-      Call.Kind_ != ConfigRequest::Kind::Watch || Log_.size() > Call.After_;
-  if (HasChanges || Events_.now() >= Call.WaitUntil_) {
-    ConfigResponse A = answerNow(Call);
-    UpstreamsServed_ += A.Batch_.Changes_.size();
-    bool Whole = Call.Kind_ == ConfigRequest::Kind::List;
-    return Answer(ServiceDelay + (Whole ? ListTakes_ : Micros(0)), A);
+  bool HasChanges = Request.Kind_ != ConfigRequest::Kind::Watch ||
+                    Log_.size() > Request.After_;
+  if (HasChanges || Events_.now() >= Request.WaitUntil_) {
+    ConfigResponse Response = currentResponse(Request);
+    UpstreamsServed_ += Response.Batch_.Changes_.size();
+    bool FullList = Request.Kind_ == ConfigRequest::Kind::List;
+    return Reply(ServiceDelay + (FullList ? ListDelay_ : Micros(0)), Response);
   }
-  Events_.after(WatchLook, [=] {
-    if (Nodes_[Which].Alive_ && Nodes_[Which].Life_ == Life)
-      serve(Which, Call, Began);
+  Events_.after(WatchPollInterval, [=] {
+    if (Nodes_[Which].Alive_ && Nodes_[Which].StartCount_ == StartCount)
+      serve(Which, Request, Began);
   });
 }
 
-ConfigResponse GossipFleet::answerNow(const ConfigRequest &Call) const {
-  ConfigResponse A;
-  A.Outcome_ = ConfigResponse::Outcome::Done;
-  A.Batch_.Whole_ = Call.Kind_ != ConfigRequest::Kind::Watch;
-  A.Batch_.After_ = Call.After_;
-  A.Batch_.Through_ = Log_.size();
-  bool Stale = Call.Kind_ == ConfigRequest::Kind::StaleList;
+ConfigResponse
+GossipFleet::currentResponse(const ConfigRequest &Request) const {
+  ConfigResponse Response;
+  Response.Outcome_ = ConfigResponse::Outcome::Done;
+  Response.Batch_.Whole_ = Request.Kind_ != ConfigRequest::Kind::Watch;
+  Response.Batch_.After_ = Request.After_;
+  Response.Batch_.Through_ = Log_.size();
+  bool Stale = Request.Kind_ == ConfigRequest::Kind::StaleList;
   std::size_t End = Log_.size();
-  while (Stale && End > 0 && PublishedAt_[End - 1] > Events_.now() - StaleBy_)
+  while (Stale && End > 0 &&
+         PublishedAt_[End - 1] > Events_.now() - StaleListAge_)
     --End;
   std::map<Incarnation, UpstreamChange> Last;
-  for (std::size_t I = Call.After_; I < End; ++I)
+  for (std::size_t I = Request.After_; I < End; ++I)
     Last[Log_[I].Incarnation_] = Log_[I];
   for (const auto &[Which, Change] : Last)
-    if (Change.Entry_ || !A.Batch_.Whole_)
-      A.Batch_.Changes_.push_back(Change);
-  if (A.Batch_.Whole_ || RoutingAt_ > Call.After_) {
-    A.Routing_ = std::make_shared<RoutingTable>(Table_);
+    if (Change.Entry_ || !Response.Batch_.Whole_)
+      Response.Batch_.Changes_.push_back(Change);
+  if (Response.Batch_.Whole_ || RoutingAt_ > Request.After_) {
+    Response.Routing_ = std::make_shared<RoutingTable>(Table_);
   }
-  A.Evacuations_ = evacuationsNow(Call, End);
+  Response.Evacuations_ = currentEvacuations(Request, End);
   if (Stale) {
-    A.Outcome_ = ConfigResponse::Outcome::Stale;
-    A.Batch_.Whole_ = false;
-    A.Batch_.Through_ = 0;
-    A.Evacuations_.Whole_ = false;
-    A.Evacuations_.Through_ = 0;
-    keepParts(Call, A);
+    Response.Outcome_ = ConfigResponse::Outcome::Stale;
+    Response.Batch_.Whole_ = false;
+    Response.Batch_.Through_ = 0;
+    Response.Evacuations_.Whole_ = false;
+    Response.Evacuations_.Through_ = 0;
+    keepReadParts(Request, Response);
   }
-  return A;
+  return Response;
 }
 
 /// Of a long stale list only the parts that a start reads.
-void GossipFleet::keepParts(const ConfigRequest &Call,
-                            ConfigResponse &A) const {
+void GossipFleet::keepReadParts(const ConfigRequest &Request,
+                                ConfigResponse &Response) const {
   std::array<std::size_t, ListPartCount> Sizes{};
-  for (const UpstreamChange &Change : A.Batch_.Changes_)
+  for (const UpstreamChange &Change : Response.Batch_.Changes_)
     ++Sizes[Change.Entry_->Part_];
-  PartReadPlan Reading(Call.FirstPart_);
+  PartReadPlan Plan(Request.FirstPart_);
   do
-    Reading.read(Sizes[Reading.next()]);
-  while (!Reading.listIsShort() && !Reading.enough());
-  if (Reading.listIsShort())
+    Plan.addPart(Sizes[Plan.nextPart()]);
+  while (!Plan.listIsShort() && !Plan.hasEnough());
+  if (Plan.listIsShort())
     return;
-  A.Parts_ = Reading.parts();
-  std::vector<UpstreamChange> &Changes = A.Batch_.Changes_;
+  Response.Parts_ = Plan.parts();
+  std::vector<UpstreamChange> &Changes = Response.Batch_.Changes_;
   Changes.erase(std::remove_if(Changes.begin(), Changes.end(),
-                               [&A](const UpstreamChange &Change) {
-                                 return !A.Parts_->test(Change.Entry_->Part_);
+                               [&Response](const UpstreamChange &Change) {
+                                 return !Response.Parts_->test(
+                                     Change.Entry_->Part_);
                                }),
                 Changes.end());
 }
 
-EvacuationBatch GossipFleet::evacuationsNow(const ConfigRequest &Call,
-                                            Revision End) const {
+EvacuationBatch GossipFleet::currentEvacuations(const ConfigRequest &Request,
+                                                Revision End) const {
   EvacuationBatch Batch;
-  Batch.Whole_ = Call.Kind_ != ConfigRequest::Kind::Watch;
+  Batch.Whole_ = Request.Kind_ != ConfigRequest::Kind::Watch;
   Batch.Through_ = End;
   std::map<std::string, EvacuationChange> Last;
-  for (const EvacuationChange &Change : HallLog_)
-    if (Change.At_ > Call.After_ && Change.At_ <= End)
+  for (const EvacuationChange &Change : EvacuationLog_)
+    if (Change.At_ > Request.After_ && Change.At_ <= End)
       Last[Change.DataHall_] = Change;
   for (const auto &[DataHall, Change] : Last)
     if (Change.Evacuated_ || !Batch.Whole_)
@@ -420,14 +428,16 @@
   return Batch;
 }
 
-void GossipFleet::take(std::size_t Which, const ConfigResponse &A) {
+void GossipFleet::handleResponse(std::size_t Which,
+                                 const ConfigResponse &Response) {
   Node &N = Nodes_[Which];
-  N.Reader_->answered(Events_.now(), A, N.News_->fleetSize());
-  if (A.Outcome_ == ConfigResponse::Outcome::Stale)
-    N.News_->staleListRead(Events_.now(), A);
-  else if (A.Outcome_ != ConfigResponse::Outcome::Done)
-    N.News_->readFailed();
-  else if (!N.News_->readSucceeded(Events_.now(), A, N.Reader_->completeAt()))
+  N.Reader_->answered(Events_.now(), Response, N.Gossip_->fleetSize());
+  if (Response.Outcome_ == ConfigResponse::Outcome::Stale)
+    N.Gossip_->staleListRead(Events_.now(), Response);
+  else if (Response.Outcome_ != ConfigResponse::Outcome::Done)
+    N.Gossip_->readFailed();
+  else if (!N.Gossip_->readSucceeded(Events_.now(), Response,
+                                     N.Reader_->completeAt()))
     N.Reader_->requestList();
 }
 
@@ -439,7 +449,7 @@
 
 bool GossipFleet::allKnow(Revision R) const {
   for (const Node &N : Nodes_)
-    if (N.Alive_ && N.News_->through() < R)
+    if (N.Alive_ && N.Gossip_->through() < R)
       return false;
   return true;
 }
--- a/test/news-fleet.h
+++ b/test/news-fleet.h
@@ -31,7 +31,7 @@
 class GossipFleet {
 public:
   explicit GossipFleet(std::size_t Count, std::size_t Halls = 3,
-                       MemberHooks Beside = {});
+                       MemberHooks Hooks = {});
 
   /// Runs to \p Until, in virtual time from the start.
   void run(Micros Until) { Events_.run(Until); }
@@ -48,32 +48,32 @@
   Version publishRouting(const RoutingTable &Table);
 
   // Troubles; each holds until it is set back.
-  void setAsleep(std::size_t Which, bool Asleep);
-  void setTurnedAway(std::size_t Which, bool TurnedAway);
+  void setSuspended(std::size_t Which, bool Suspended);
+  void setRefused(std::size_t Which, bool Refused);
   /// Calls of the configuration service are never answered.
-  void setSilent(std::size_t Which, bool Silent);
+  void setUnresponsive(std::size_t Which, bool Unresponsive);
   /// Packets between two members are held up; they arrive when it ends.
-  void setHeldUp(std::size_t A, std::size_t B, bool HeldUp);
+  void setBlocked(std::size_t A, std::size_t B, bool Blocked);
   void setServiceDown(bool Down) { ServiceDown_ = Down; }
   /// Changes so far are no longer told by watches, and a list takes so long.
-  void loseHistory(Micros ListTakes) {
+  void compactHistory(Micros ListDelay) {
     HistoryFrom_ = Log_.size();
-    ListTakes_ = ListTakes;
+    ListDelay_ = ListDelay;
   }
   /// Stale lists are so old from now on.
-  void setStaleBy(Micros Age) { StaleBy_ = Age; }
+  void setStaleListAge(Micros Age) { StaleListAge_ = Age; }
   std::size_t staleCalls() const { return StaleCalls_; }
   /// Upstreams in all answers of the configuration service.
   std::size_t upstreamsServed() const { return UpstreamsServed_; }
   /// Upstreams that peers have told a member since its start, and all links
   /// that it has had at once.
-  std::size_t upstreamsTold(std::size_t Which) const {
-    return Nodes_[Which].UpstreamsTold_;
+  std::size_t upstreamsReceived(std::size_t Which) const {
+    return Nodes_[Which].UpstreamsReceived_;
   }
   /// Bytes of messages that all members have sent.
   std::size_t bytesSent() const { return BytesSent_; }
-  std::size_t mostLinks(std::size_t Which) const {
-    return Nodes_[Which].MostLinks_;
+  std::size_t maxLinks(std::size_t Which) const {
+    return Nodes_[Which].MaxLinks_;
   }
   /// Upstreams that a member has been told of, by whomever.
   std::size_t listed(std::size_t Which) const {
@@ -81,7 +81,7 @@
   }
   /// Every open link, and every call under way, says nothing any more; new ones
   /// work.
-  void silenceConnections();
+  void blackholeConnections();
   void kill(std::size_t Which);
   void restart(std::size_t Which);
 
@@ -89,7 +89,7 @@
   std::size_t size() const { return Nodes_.size(); }
   /// Calls but those for stale lists.
   std::size_t calls() const { return Calls_; }
-  GossipNode &news(std::size_t Which) { return *Nodes_[Which].News_; }
+  GossipNode &gossip(std::size_t Which) { return *Nodes_[Which].Gossip_; }
   /// Warnings that a member had from peers.
   const std::vector<UpstreamWarning> &warnings(std::size_t Which) const {
     return Nodes_[Which].Warnings_;
@@ -101,75 +101,77 @@
   }
   /// Every living member, awake and not, has exactly these halls evacuated.
   bool allEvacuated(const std::set<std::string> &Halls) const;
-  bool returning(std::size_t Which) const { return Nodes_[Which].MayReturn_; }
+  bool mayReturn(std::size_t Which) const { return Nodes_[Which].MayReturn_; }
   /// The member that made the last call.
   std::size_t lastReader() const { return LastReader_; }
   /// How far claimed knowledge was ever younger than true: the largest time by
   /// which a member said to know something that it did not.
-  Micros worstClaim() const { return WorstClaim_; }
+  Micros worstConfirmationError() const { return WorstConfirmationError_; }
   /// Every living member, awake and not, knows this.
   bool allKnow(Revision R) const;
 
 private:
   struct Node {
-    std::unique_ptr<GossipNode> News_;
+    std::unique_ptr<GossipNode> Gossip_;
     std::unique_ptr<ConfigReader> Reader_;
     std::map<LinkId, std::pair<std::size_t, LinkId>> Links_;
-    std::set<LinkId> SilentLinks_;
-    MonoTime CallsSilentFrom_{}; ///< Calls begun before it get no answer.
-    std::vector<std::function<void()>> Held_; ///< While it is asleep.
+    std::set<LinkId> DeadLinks_;
+    MonoTime CallsLostBefore_{}; ///< Calls begun before it get no answer.
+    std::vector<std::function<void()>> Deferred_; ///< While it is asleep.
     std::vector<UpstreamWarning> Warnings_;
     std::set<std::string> Evacuated_;
     std::set<Incarnation> Listed_;
-    std::size_t UpstreamsTold_ = 0;
-    std::size_t MostLinks_ = 0;
+    std::size_t UpstreamsReceived_ = 0;
+    std::size_t MaxLinks_ = 0;
     Version Routing_ = 0;
-    std::uint64_t Life_ = 0; ///< Counts restarts.
+    std::uint64_t StartCount_ = 0; ///< Counts restarts.
     bool Alive_ = true;
-    bool Asleep_ = false;
-    bool TurnedAway_ = false;
-    bool Silent_ = false;
+    bool Suspended_ = false;
+    bool Refused_ = false;
+    bool Unresponsive_ = false;
     bool MayReturn_ = false;
   };
   Member member(std::size_t Which) const;
   void start(std::size_t Which);
   /// Does it on behalf of a member: later if it sleeps, never if it restarts.
-  void onNode(std::size_t Which, std::function<void()> Do);
+  void runOnNode(std::size_t Which, std::function<void()> Do);
   GossipHooks hooks(std::size_t Which);
   void connect(std::size_t From, const Endpoint &To);
   void deliver(std::size_t From, LinkId Link, const std::string &Bytes);
   void unlink(std::size_t Which, LinkId Link);
-  void review(std::size_t Which);
+  void pollReader(std::size_t Which);
   void tick(std::size_t Which);
-  void serve(std::size_t Which, const ConfigRequest &Call, MonoTime Began);
-  ConfigResponse answerNow(const ConfigRequest &Call) const;
-  EvacuationBatch evacuationsNow(const ConfigRequest &Call, Revision End) const;
-  void keepParts(const ConfigRequest &Call, ConfigResponse &A) const;
-  void take(std::size_t Which, const ConfigResponse &A);
-  void noteClaim(std::size_t Which, MonoTime AsOf);
+  void serve(std::size_t Which, const ConfigRequest &Request, MonoTime Began);
+  ConfigResponse currentResponse(const ConfigRequest &Request) const;
+  EvacuationBatch currentEvacuations(const ConfigRequest &Request,
+                                     Revision End) const;
+  void keepReadParts(const ConfigRequest &Request,
+                     ConfigResponse &Response) const;
+  void handleResponse(std::size_t Which, const ConfigResponse &Response);
+  void checkConfirmation(std::size_t Which, MonoTime AsOf);
 
   std::vector<Node> Nodes_;
   EventQueue Events_;
-  std::set<std::pair<std::size_t, std::size_t>> HeldUp_;
+  std::set<std::pair<std::size_t, std::size_t>> Blocked_;
   std::map<std::pair<std::size_t, std::size_t>,
            std::vector<std::function<void()>>>
-      HeldPackets_;
+      BlockedMessages_;
   std::vector<UpstreamChange> Log_; ///< Index I has revision I + 1.
   std::vector<MonoTime> PublishedAt_;
-  std::vector<EvacuationChange> HallLog_; ///< In the order of revisions.
-  RoutingTable Table_;                    ///< As it is published.
+  std::vector<EvacuationChange> EvacuationLog_; ///< In the order of revisions.
+  RoutingTable Table_;                          ///< As it is published.
   Revision RoutingAt_ = 0;
   std::size_t Halls_;
-  MemberHooks Beside_;
+  MemberHooks MemberHooks_;
   std::uint64_t LastLink_ = 0;
   std::size_t Calls_ = 0;
   std::size_t LastReader_ = 0;
-  Micros WorstClaim_{};
+  Micros WorstConfirmationError_{};
   std::size_t StaleCalls_ = 0;
   std::size_t UpstreamsServed_ = 0;
   std::size_t BytesSent_ = 0;
-  Micros StaleBy_{0};
-  Micros ListTakes_{0};
+  Micros StaleListAge_{0};
+  Micros ListDelay_{0};
   Revision HistoryFrom_ = 0;
   bool ServiceDown_ = false;
 };
--- a/test/news-start-test.cc
+++ b/test/news-start-test.cc
@@ -18,11 +18,11 @@
     E.At_ = Endpoint::v4(static_cast<std::uint32_t>(1000 + I), 9000);
     Fleet.publish(E.Incarnation_, E);
   }
-  Fleet.setStaleBy(1s);
+  Fleet.setStaleListAge(1s);
 }
 
 /// A fleet that has lost everything it knew, and starts at 5 s.
-void startAnew(GossipFleet &Fleet) {
+void restartAll(GossipFleet &Fleet) {
   publishMany(Fleet, 600);
   for (std::size_t Which = 0; Which < Fleet.size(); ++Which)
     Fleet.kill(Which);
@@ -63,7 +63,7 @@
 
 TEST_CASE("of a fleet that starts at once, few read more than a stale list") {
   GossipFleet Fleet(90, 5);
-  startAnew(Fleet);
+  restartAll(Fleet);
   std::size_t Before = Fleet.calls();
   Fleet.run(5s + 600ms);
   CHECK(Fleet.allKnow(606));
@@ -91,10 +91,10 @@
     Fleet.restart(5);
   }
   SUBCASE("a sleep") {
-    Fleet.setAsleep(5, true);
+    Fleet.setSuspended(5, true);
     Fleet.run(18s);
     CHECK(ArrivedAt.empty());
-    Fleet.setAsleep(5, false);
+    Fleet.setSuspended(5, false);
   }
   MonoTime At = Fleet.clock();
   Fleet.run(18s + 300ms);
@@ -108,7 +108,7 @@
 
 TEST_CASE("without peers a start knows what is current within 1.1 s") {
   GossipFleet Fleet(1);
-  startAnew(Fleet);
+  restartAll(Fleet);
   Fleet.run(5s + 1100ms);
   CHECK(Fleet.allKnow(606));
 }
@@ -118,17 +118,17 @@
     GossipFleet Fleet(90, 5);
     Fleet.run(8s);
     std::size_t Before = Fleet.calls();
-    auto SetAway = [&](bool Away) {
+    auto SetOutage = [&](bool Outage) {
       for (std::size_t Which = 0; Which < Fleet.size(); ++Which)
-        Silent ? Fleet.setSilent(Which, Away)
-               : Fleet.setTurnedAway(Which, Away);
+        Silent ? Fleet.setUnresponsive(Which, Outage)
+               : Fleet.setRefused(Which, Outage);
     };
-    SetAway(true);
+    SetOutage(true);
     Fleet.run(14s);
     CAPTURE(Silent);
     // One each, since none knows that others fail too, and then turns.
     CHECK(Fleet.calls() - Before <= 2 * Fleet.size());
-    SetAway(false);
+    SetOutage(false);
     Fleet.run(14s + 1500ms); // a silent call lasts for a second
     Revision R = Fleet.publish();
     Fleet.run(17s);
--- a/test/news-test.cc
+++ b/test/news-test.cc
@@ -10,7 +10,7 @@
 namespace {
 
 /// Time until everybody knows what is published now; at most \p Limit.
-Micros spread(GossipFleet &Fleet, Micros Limit) {
+Micros propagationTime(GossipFleet &Fleet, Micros Limit) {
   Revision R = Fleet.publish();
   Micros Start = Fleet.now() - 100s;
   for (Micros Waited = 0ms; Waited < Limit; Waited += 10ms) {
@@ -30,7 +30,7 @@
     std::size_t Before = Fleet.calls();
     Fleet.run(15s);
     CHECK(Fleet.calls() - Before <= 22); // two a second, whatever the size
-    CHECK(spread(Fleet, 3s) <= 1s);
+    CHECK(propagationTime(Fleet, 3s) <= 1s);
     Fleet.publishRouting();
     Fleet.run(20s);
     for (std::size_t I = 0; I < Size; ++I)
@@ -42,8 +42,8 @@
   using Trouble = void (*)(GossipFleet &, std::size_t);
   const Trouble Troubles[] = {
       [](GossipFleet &F, std::size_t I) { F.kill(I); },
-      [](GossipFleet &F, std::size_t I) { F.setTurnedAway(I, true); },
-      [](GossipFleet &F, std::size_t I) { F.setSilent(I, true); },
+      [](GossipFleet &F, std::size_t I) { F.setRefused(I, true); },
+      [](GossipFleet &F, std::size_t I) { F.setUnresponsive(I, true); },
   };
   for (Trouble Strike : Troubles) {
     GossipFleet Fleet(8);
@@ -51,9 +51,9 @@
     Strike(Fleet, Fleet.lastReader());
     Fleet.run(5s + 50ms);
     // It was confirmed up to 0.5 s ago; others wait for 1.5 s and their rank.
-    CHECK(spread(Fleet, 4s) <= 2300ms);
+    CHECK(propagationTime(Fleet, 4s) <= 2300ms);
     Fleet.run(20s);
-    CHECK(spread(Fleet, 3s) <= 1s);
+    CHECK(propagationTime(Fleet, 3s) <= 1s);
   }
 }
 
@@ -61,13 +61,13 @@
   GossipFleet Fleet(8);
   Fleet.run(5s);
   std::size_t Sleeper = Fleet.lastReader();
-  Fleet.setAsleep(Sleeper, true);
+  Fleet.setSuspended(Sleeper, true);
   Fleet.run(8s);
   Revision R = Fleet.publish();
   Fleet.run(10s);
   for (std::size_t I = 0; I < Fleet.size(); ++I)
-    CHECK((I == Sleeper || Fleet.news(I).through() >= R));
-  Fleet.setAsleep(Sleeper, false);
+    CHECK((I == Sleeper || Fleet.gossip(I).through() >= R));
+  Fleet.setSuspended(Sleeper, false);
   Fleet.run(11s);
   CHECK(Fleet.allKnow(R));
 }
@@ -76,12 +76,12 @@
     "a third of a large fleet turned away hears everything from the rest") {
   GossipFleet Fleet(90, 5);
   for (std::size_t I = 0; I < 90; I += 3)
-    Fleet.setTurnedAway(I, true);
+    Fleet.setRefused(I, true);
   Fleet.run(8s);
   std::size_t Before = Fleet.calls();
   Micros Worst{};
   for (int I = 0; I < 20; ++I) {
-    Worst = std::max(Worst, spread(Fleet, 3s));
+    Worst = std::max(Worst, propagationTime(Fleet, 3s));
     Fleet.run(Fleet.now() - 100s + 700ms);
   }
   CHECK(Worst <= 1s);
@@ -96,7 +96,7 @@
   Fleet.setServiceDown(true);
   Fleet.restart(5);
   Fleet.run(6s + 300ms);
-  CHECK(Fleet.news(5).through() == Fleet.news(0).through());
+  CHECK(Fleet.gossip(5).through() == Fleet.gossip(0).through());
   CHECK(Fleet.routing(5) == 1);
 }
 
@@ -106,9 +106,9 @@
   std::size_t Alone = (Fleet.lastReader() + 1) % 8;
   for (std::size_t I = 0; I < 8; ++I)
     if (I != Alone)
-      Fleet.setHeldUp(Alone, I, true);
+      Fleet.setBlocked(Alone, I, true);
   Fleet.run(8s);
-  CHECK(spread(Fleet, 3s) <= 1s);
+  CHECK(propagationTime(Fleet, 3s) <= 1s);
 }
 
 TEST_CASE("an outage is noticed by all, and its end within two seconds") {
@@ -124,10 +124,10 @@
   Fleet.run(13s);
   CHECK(Fleet.allKnow(R));
   for (std::size_t I = 0; I < 8; ++I)
-    CHECK(Fleet.returning(I));
-  spread(Fleet, 3s);
+    CHECK(Fleet.mayReturn(I));
+  propagationTime(Fleet, 3s);
   for (std::size_t I = 0; I < 8; ++I)
-    CHECK_FALSE(Fleet.returning(I));
+    CHECK_FALSE(Fleet.mayReturn(I));
 }
 
 TEST_CASE("what was held up does not make knowledge look recent") {
@@ -143,35 +143,35 @@
       case 0:
       case 1:
         if (A != B)
-          Fleet.setHeldUp(A, B, On);
+          Fleet.setBlocked(A, B, On);
         break;
       case 2:
-        Fleet.setAsleep(A, On);
+        Fleet.setSuspended(A, On);
         break;
       case 3:
-        Fleet.setTurnedAway(A, On);
+        Fleet.setRefused(A, On);
         break;
       case 4:
         Fleet.publish();
         break;
       case 5:
-        Fleet.setSilent(A, On);
+        Fleet.setUnresponsive(A, On);
         break;
       }
       Time += std::chrono::milliseconds(*rc::gen::inRange(1, 1500));
       Fleet.run(Time);
     }
     // Claims are taken only if made within `MaxEchoAge`, hop by hop.
-    RC_ASSERT(Fleet.worstClaim() <= GossipNode::MaxEchoAge);
+    RC_ASSERT(Fleet.worstConfirmationError() <= GossipNode::MaxEchoAge);
     for (std::size_t I = 0; I < 6; ++I) {
-      Fleet.setAsleep(I, false);
-      Fleet.setTurnedAway(I, false);
-      Fleet.setSilent(I, false);
+      Fleet.setSuspended(I, false);
+      Fleet.setRefused(I, false);
+      Fleet.setUnresponsive(I, false);
       for (std::size_t J = 0; J < I; ++J)
-        Fleet.setHeldUp(I, J, false);
+        Fleet.setBlocked(I, J, false);
     }
     Fleet.run(Time + 5s);
-    RC_ASSERT(spread(Fleet, 3s) <= 2s);
+    RC_ASSERT(propagationTime(Fleet, 3s) <= 2s);
   });
 }
 
@@ -180,15 +180,16 @@
     GossipFleet Fleet(Size);
     Fleet.run(5s);
     UpstreamWarning Dead{Incarnation{7}, UpstreamWarning::Kind::Dead};
-    Fleet.news(3).warn(Fleet.clock(), Dead);
-    Fleet.news(3).warn(Fleet.clock(), Dead); // told already
+    Fleet.gossip(3).warn(Fleet.clock(), Dead);
+    Fleet.gossip(3).warn(Fleet.clock(), Dead); // told already
     Fleet.run(5s + 100ms);
     CHECK(Fleet.warnings(3).empty());
     for (std::size_t I = 0; I < Size; ++I)
       if (I != 3)
         CHECK(Fleet.warnings(I) == std::vector<UpstreamWarning>{Dead});
     Fleet.run(7s);
-    Fleet.news(5).warn(Fleet.clock(), Dead); // a second later it is news again
+    Fleet.gossip(5).warn(Fleet.clock(),
+                         Dead); // a second later it is news again
     Fleet.run(8s);
     CHECK(Fleet.warnings(3).size() == 1);
   }
@@ -198,8 +199,8 @@
   GossipFleet Fleet(8);
   Fleet.run(5s);
   for (std::uint64_t I = 1; I <= 2 * GossipNode::MaxWarningsPerInterval; ++I)
-    Fleet.news(0).warn(Fleet.clock(),
-                       {Incarnation{I}, UpstreamWarning::Kind::Stalled});
+    Fleet.gossip(0).warn(Fleet.clock(),
+                         {Incarnation{I}, UpstreamWarning::Kind::Stalled});
   Fleet.run(5s + 100ms);
   CHECK(Fleet.warnings(1).size() == GossipNode::MaxWarningsPerInterval);
 }
@@ -302,7 +303,7 @@
   auto Lost = [&] {
     std::vector<std::size_t> Who;
     for (std::size_t I = 0; I < Fleet.size(); ++I)
-      if (Fleet.news(I).isDataHallLost(Fleet.clock()))
+      if (Fleet.gossip(I).isDataHallLost(Fleet.clock()))
         Who.push_back(I);
     return Who;
   };
@@ -327,7 +328,7 @@
     for (Micros Time = 6s; Time < Until; Time += 50ms) {
       Fleet.run(Time);
       for (std::size_t I = 0; I < Fleet.size(); ++I)
-        if (Fleet.news(I).isDataHallLost(Fleet.clock()))
+        if (Fleet.gossip(I).isDataHallLost(Fleet.clock()))
           return false;
     }
     return true;
@@ -340,7 +341,7 @@
   GossipFleet CutOff(9);
   CutOff.run(6s);
   for (std::size_t I = 1; I < 9; ++I)
-    CutOff.setHeldUp(0, I, true);
+    CutOff.setBlocked(0, I, true);
   CHECK(Nobody(CutOff, 12s));
   // Too many for silence to mean anything, whatever becomes of them.
   GossipFleet Large(30);
@@ -356,15 +357,15 @@
     for (std::size_t Size : {std::size_t{2}, std::size_t{9}}) {
       GossipFleet Fleet(Size);
       Fleet.run(6s + Offset);
-      Fleet.silenceConnections();
-      CHECK(spread(Fleet, 4s) <= 2500ms);
+      Fleet.blackholeConnections();
+      CHECK(propagationTime(Fleet, 4s) <= 2500ms);
       Fleet.run(13s + Offset); // peers have found each other again
       std::size_t Before = Fleet.calls();
       Fleet.run(16s + Offset);
       CHECK(Fleet.calls() - Before <= 8); // one reads for all again
-      Fleet.silenceConnections();
+      Fleet.blackholeConnections();
       Fleet.publishRouting();
-      CHECK(spread(Fleet, 4s) <= 2500ms);
+      CHECK(propagationTime(Fleet, 4s) <= 2500ms);
     }
   }
 }
@@ -373,9 +374,9 @@
   for (Micros Offset = 0ms; Offset < 2000ms; Offset += 190ms) {
     GossipFleet Fleet(9);
     Fleet.run(6s);
-    Fleet.setTurnedAway(Fleet.lastReader(), true);
+    Fleet.setRefused(Fleet.lastReader(), true);
     Fleet.run(6s + Offset);
-    Fleet.silenceConnections();
-    CHECK(spread(Fleet, 4s) <= 2800ms);
+    Fleet.blackholeConnections();
+    CHECK(propagationTime(Fleet, 4s) <= 2800ms);
   }
 }
--- a/test/parts-exchange-test.cc
+++ b/test/parts-exchange-test.cc
@@ -26,57 +26,57 @@
 }
 
 /// A start that has read all parts but one, with links to three peers.
-class AlmostAll {
+class NearlyCompleteStart {
 public:
   static constexpr std::uint8_t Missing = 7;
 
-  AlmostAll() : News_({member(0), {}}, hooks()) {
+  NearlyCompleteStart() : Gossip_({member(0), {}}, hooks()) {
     for (std::uint64_t Peer = 1; Peer <= 3; ++Peer)
-      News_.opened(at(0ms), LinkId{Peer}, false);
+      Gossip_.opened(at(0ms), LinkId{Peer}, false);
     ConfigResponse Stale;
     Stale.Outcome_ = ConfigResponse::Outcome::Stale;
     Stale.Batch_.Changes_ = {listed(5, 1)};
     Stale.Parts_ = allParts().reset(Missing);
-    News_.staleListRead(at(1ms), Stale);
+    Gossip_.staleListRead(at(1ms), Stale);
   }
 
   /// Of a peer that has this part, or knows everything through a revision.
-  void beat(std::uint64_t Peer, ListParts Parts, Revision Through) {
+  void heartbeat(std::uint64_t Peer, ListParts Parts, Revision Through) {
     PeerHeartbeat M;
     M.Sender_ = member(Peer);
     M.Through_ = Through;
     M.Parts_ = Parts;
     M.UpstreamCount_ = 2;
-    News_.received(at(10ms), LinkId{Peer}, M);
+    Gossip_.received(at(10ms), LinkId{Peer}, M);
   }
 
   /// An answer with the missing part, which names one upstream.
-  void part(std::uint64_t Peer, std::uint64_t Id) {
+  void missingPart(std::uint64_t Peer, std::uint64_t Id) {
     StateUpdate M;
     M.Parts_.set(Missing);
     M.Upstreams_.Changes_ = {listed(Id, Missing)};
-    News_.received(at(20ms), LinkId{Peer}, M);
+    Gossip_.received(at(20ms), LinkId{Peer}, M);
   }
 
   /// An answer that finds no difference, through a revision.
-  void same(std::uint64_t Peer, Revision Through) {
+  void noDifference(std::uint64_t Peer, Revision Through) {
     StateUpdate M;
     M.Upstreams_.Whole_ = true;
     M.Upstreams_.Through_ = Through;
     M.Upstreams_.Same_ = allParts();
-    News_.received(at(30ms), LinkId{Peer}, M);
+    Gossip_.received(at(30ms), LinkId{Peer}, M);
   }
 
-  GossipNode News_;
+  GossipNode Gossip_;
   std::set<std::uint64_t> Listed_;
-  std::vector<StateRequest> Asked_;
+  std::vector<StateRequest> Requests_;
 
 private:
   GossipHooks hooks() {
     GossipHooks Hooks;
     Hooks.Send_ = [this](LinkId, const GossipMessage &M) {
-      if (const auto *Wanted = std::get_if<StateRequest>(&M))
-        Asked_.push_back(*Wanted);
+      if (const auto *Request = std::get_if<StateRequest>(&M))
+        Requests_.push_back(*Request);
     };
     Hooks.Connect_ = [](const Endpoint &) {};
     Hooks.Close_ = [](LinkId) {};
@@ -96,24 +96,24 @@
 } // namespace
 
 TEST_CASE("a part that is here is not taken again, whatever it names") {
-  AlmostAll S;
-  S.beat(1, ListParts{}.set(AlmostAll::Missing), 0);
-  REQUIRE(S.Asked_.size() == 1);
-  CHECK(S.Asked_[0].Parts_ == ListParts{}.set(AlmostAll::Missing));
-  S.part(1, 71);
-  S.beat(2, {}, 50);
-  REQUIRE(S.Asked_.size() == 2);
-  CHECK(S.Asked_[1].Digests_);
+  NearlyCompleteStart S;
+  S.heartbeat(1, ListParts{}.set(NearlyCompleteStart::Missing), 0);
+  REQUIRE(S.Requests_.size() == 1);
+  CHECK(S.Requests_[0].Parts_ == ListParts{}.set(NearlyCompleteStart::Missing));
+  S.missingPart(1, 71);
+  S.heartbeat(2, {}, 50);
+  REQUIRE(S.Requests_.size() == 2);
+  CHECK(S.Requests_[1].Digests_);
   SUBCASE("from a peer that answers late, with one that has ended") {
-    S.part(3, 72);
+    S.missingPart(3, 72);
   }
   SUBCASE("from a stale list that comes late") {
     ConfigResponse Late;
     Late.Outcome_ = ConfigResponse::Outcome::Stale;
-    Late.Batch_.Changes_ = {listed(72, AlmostAll::Missing)};
-    S.News_.staleListRead(at(25ms), Late);
+    Late.Batch_.Changes_ = {listed(72, NearlyCompleteStart::Missing)};
+    S.Gossip_.staleListRead(at(25ms), Late);
   }
-  S.same(2, 80);
-  CHECK(S.News_.through() == 80);
+  S.noDifference(2, 80);
+  CHECK(S.Gossip_.through() == 80);
   CHECK(S.Listed_ == std::set<std::uint64_t>{5, 71});
 }
--- a/test/peer-choice-test.cc
+++ b/test/peer-choice-test.cc
@@ -20,10 +20,10 @@
 }
 
 /// Whether the links that all members open join all of them.
-bool connected(const std::vector<Member> &Members, std::size_t FarLimit) {
+bool isConnected(const std::vector<Member> &Members, std::size_t RemoteLimit) {
   std::vector<std::size_t> Part(Members.size());
   std::iota(Part.begin(), Part.end(), 0U);
-  auto PartOf = [&Part](std::size_t I) {
+  auto ComponentOf = [&Part](std::size_t I) {
     while (Part[I] != I)
       I = Part[I];
     return I;
@@ -35,9 +35,9 @@
   for (std::size_t I = 0; I < Members.size(); ++I) {
     std::vector<Member> Others = Members;
     Others.erase(Others.begin() + static_cast<long>(I));
-    for (const Member &Peer : choosePeers(Others, Members[I], 3, FarLimit)) {
-      std::size_t A = PartOf(I);
-      std::size_t B = PartOf(Index[Peer.Name_]);
+    for (const Member &Peer : choosePeers(Others, Members[I], 3, RemoteLimit)) {
+      std::size_t A = ComponentOf(I);
+      std::size_t B = ComponentOf(Index[Peer.Name_]);
       Part[A] = B;
       Parts -= A == B ? 0 : 1;
     }
@@ -52,7 +52,7 @@
     auto Halls = *rc::gen::inRange<std::size_t>(2, 7);
     auto Count = *rc::gen::inRange<std::size_t>(20 * Halls, 60 * Halls);
     std::vector<Member> Members = fleet(Count, Halls);
-    RC_ASSERT(connected(Members, 1));
+    RC_ASSERT(isConnected(Members, 1));
     auto Lost =
         "hall-" + std::to_string(*rc::gen::inRange<std::size_t>(0, Halls));
     auto Draw = *rc::gen::arbitrary<std::uint64_t>();
@@ -64,7 +64,7 @@
                          return M.DataHall_ == Lost || Chance % 3 == 0;
                        }),
         Members.end());
-    RC_ASSERT(connected(Members, 1));
+    RC_ASSERT(isConnected(Members, 1));
   });
 }
 
@@ -79,11 +79,12 @@
   std::vector<Member> Members = fleet(90, 3);
   Member Self = Members.back();
   Members.pop_back();
-  for (std::size_t FarLimit : {1U, 2U}) {
-    std::vector<Member> Peers = choosePeers(Members, Self, 3, FarLimit);
-    auto Far = std::count_if(Peers.begin(), Peers.end(), [&](const Member &M) {
-      return M.DataHall_ != Self.DataHall_;
-    });
-    CHECK(static_cast<std::size_t>(Far) == FarLimit);
+  for (std::size_t RemoteLimit : {1U, 2U}) {
+    std::vector<Member> Peers = choosePeers(Members, Self, 3, RemoteLimit);
+    auto Remote =
+        std::count_if(Peers.begin(), Peers.end(), [&](const Member &M) {
+          return M.DataHall_ != Self.DataHall_;
+        });
+    CHECK(static_cast<std::size_t>(Remote) == RemoteLimit);
   }
 }
--- a/test/reading-turn-test.cc
+++ b/test/reading-turn-test.cc
@@ -24,23 +24,23 @@
 
 /// The last but one in the order of 200 balancers, linked to the last one, by
 /// which a test speaks.
-class LateInOrder {
+class LowRankReader {
 public:
-  LateInOrder() : Order_(order()) {
-    News_ = std::make_unique<GossipNode>(
+  LowRankReader() : Order_(order()) {
+    Gossip_ = std::make_unique<GossipNode>(
         GossipOptions{member(Order_[Fleet - 2]), {}}, hooks());
-    News_->tick(at(0s));
-    News_->opened(at(0s), LinkId{1}, false);
+    Gossip_->tick(at(0s));
+    Gossip_->opened(at(0s), LinkId{1}, false);
     ConfigResponse List;
     List.Outcome_ = ConfigResponse::Outcome::Done;
     List.Batch_.Whole_ = true;
     List.Batch_.Through_ = 5;
-    News_->readSucceeded(at(0s), List, at(0s));
+    Gossip_->readSucceeded(at(0s), List, at(0s));
   }
 
   /// A heartbeat of the peer, which knows as much as is known up to \\p Known
   /// and has heard of the first balancer as of \\p Living.
-  void beat(Micros Now, Micros Known, Micros Living) {
+  void heartbeat(Micros Now, Micros Known, Micros Living) {
     PeerHeartbeat M;
     M.Sender_ = member(Order_.back());
     M.Through_ = 5;
@@ -50,13 +50,13 @@
     M.FirstAliveScore_ = score(Order_.front());
     M.FirstAliveAgeMs_ = millis(Now - Living);
     M.Sequence_ = ++Sequence_;
-    M.EchoedSequence_ = Heard_;
+    M.EchoedSequence_ = LastReceivedSequence_;
     for (std::size_t I = 0; I < Fleet - 2; ++I)
       M.Members_.push_back(member(Order_[I]));
-    News_->received(at(Now), LinkId{1}, M);
+    Gossip_->received(at(Now), LinkId{1}, M);
   }
 
-  std::unique_ptr<GossipNode> News_;
+  std::unique_ptr<GossipNode> Gossip_;
 
 private:
   static constexpr std::size_t Fleet = 200;
@@ -76,7 +76,7 @@
     GossipHooks Hooks;
     Hooks.Send_ = [this](LinkId, const GossipMessage &M) {
       if (const auto *Beat = std::get_if<PeerHeartbeat>(&M))
-        Heard_ = Beat->Sequence_;
+        LastReceivedSequence_ = Beat->Sequence_;
     };
     Hooks.Connect_ = [](const Endpoint &) {};
     Hooks.Close_ = [](LinkId) {};
@@ -88,38 +88,38 @@
   }
 
   std::vector<std::size_t> Order_;
-  std::uint64_t Heard_ = 0;
+  std::uint64_t LastReceivedSequence_ = 0;
   std::uint64_t Sequence_ = 0;
 };
 
 } // namespace
 
 TEST_CASE("while the first of the order lives, those after it take turns") {
-  LateInOrder L;
+  LowRankReader L;
   for (Micros Now = 250ms; Now <= 8s; Now += 250ms) {
-    L.News_->tick(at(Now));
+    L.Gossip_->tick(at(Now));
     // Nobody is served from 1 s on, and the first says once a second it lives.
-    L.beat(Now, std::min<Micros>(Now, 1s), Now - Now % 1s);
-    CHECK(L.News_->nextReadAt() > at(Now));
+    L.heartbeat(Now, std::min<Micros>(Now, 1s), Now - Now % 1s);
+    CHECK(L.Gossip_->nextReadAt() > at(Now));
   }
 }
 
 TEST_CASE("in a part that is cut off from the first, its members read soon") {
-  LateInOrder L;
+  LowRankReader L;
   for (Micros Now = 250ms; Now <= 6s; Now += 250ms) {
-    L.News_->tick(at(Now));
-    L.beat(Now, std::min<Micros>(Now, 1s), std::min<Micros>(Now, 1s));
+    L.Gossip_->tick(at(Now));
+    L.heartbeat(Now, std::min<Micros>(Now, 1s), std::min<Micros>(Now, 1s));
   }
-  CHECK(L.News_->nextReadAt() <=
+  CHECK(L.Gossip_->nextReadAt() <=
         at(1s) + 3300ms); // 2.5 s of silence, 0.8 s spread
-  CHECK(L.News_->nextReadAt() >= at(1s) + 1500ms);
+  CHECK(L.Gossip_->nextReadAt() >= at(1s) + 1500ms);
 }
 
 TEST_CASE("word of the first that may be old does not hold up a part") {
-  LateInOrder L;
+  LowRankReader L;
   for (Micros Now = 250ms; Now <= 1s; Now += 250ms) {
-    L.News_->tick(at(Now));
-    L.beat(Now, Now, Now);
+    L.Gossip_->tick(at(Now));
+    L.heartbeat(Now, Now, Now);
   }
   // Held up since, and now arriving: they echo nothing recent.
   PeerHeartbeat Late;
@@ -127,8 +127,8 @@
   Late.FirstAliveAgeMs_ = 0;
   Late.EchoedSequence_ = 1;
   for (Micros Now = 1250ms; Now <= 6s; Now += 250ms) {
-    L.News_->tick(at(Now));
-    L.News_->received(at(Now), LinkId{1}, Late);
+    L.Gossip_->tick(at(Now));
+    L.Gossip_->received(at(Now), LinkId{1}, Late);
   }
-  CHECK(L.News_->nextReadAt() <= at(1s) + 3300ms);
+  CHECK(L.Gossip_->nextReadAt() <= at(1s) + 3300ms);
 }
