--- a/include/thymewall/evacuation.h
+++ b/include/thymewall/evacuation.h
@@ -1,6 +1,6 @@
 /// \file
-/// Evacuated data halls: the operators ask that nothing new is sent to the
-/// upstreams of a hall until they take the hall back.
+/// Evacuated data halls: no new flows go to the upstreams of an evacuated hall
+/// until the operators end its evacuation.
 #ifndef THYMEWALL_EVACUATION_H
 #define THYMEWALL_EVACUATION_H
 
@@ -11,7 +11,7 @@
 
 namespace thymewall {
 
-/// A hall's last change: it is evacuated, or taken back.
+/// Start or end of the evacuation of a hall.
 struct EvacuationChange {
   std::string DataHall_;
   Revision At_ = 0;
@@ -24,26 +24,25 @@
   return Fields(A) == Fields(B);
 }
 
-/// Changes, in any order. With `Whole_` they name every hall that is evacuated
-/// as of `Through_`: one that they lack was taken back by then. Halls are few,
-/// so that peers always tell all of them.
+/// Changes in any order. If `Whole_`, they are a snapshot of all evacuated
+/// halls as of `Through_`, and a missing hall is not evacuated. Halls are few,
+/// so peers always send a snapshot.
 struct EvacuationBatch {
   bool Whole_ = false;
   Revision Through_ = 0;
   std::vector<EvacuationChange> Changes_;
 };
 
-/// The evacuated halls, complete through a revision. Needs no memory of halls
-/// that were taken back: whoever tells of one as of a revision that is already
-/// complete here tells of the past.
+/// Evacuated halls, complete through a revision. Ended evacuations need no
+/// entry: a change at or before the revision is outdated.
 class EvacuationList {
 public:
-  /// Applies what is newer than what is known and appends to \p Applied what
-  /// has changed here.
+  /// Applies changes that are newer than the known state and appends those that
+  /// had an effect to \p Applied.
   void apply(const EvacuationBatch &Batch,
              std::vector<EvacuationChange> &Applied);
 
-  /// All evacuated halls, for a peer.
+  /// Returns a snapshot for a peer.
   EvacuationBatch all() const;
   bool isEvacuated(const std::string &DataHall) const {
     return EvacuatedAt_.count(DataHall) != 0;
@@ -56,7 +55,7 @@
                     std::vector<EvacuationChange> &Applied);
 
   std::map<std::string, Revision>
-      EvacuatedAt_; ///< When each was last evacuated.
+      EvacuatedAt_; ///< Revision of each evacuation.
   Revision Through_ = 0;
 };
 
--- a/include/thymewall/intent-reader.h
+++ b/include/thymewall/intent-reader.h
@@ -1,7 +1,7 @@
 /// \file
-/// When to call the configuration service, and for what. The reader starts no
-/// call itself: a harness asks it what is due, makes the call and gives the
-/// answer back.
+/// Schedules calls of the configuration service. The reader makes no call
+/// itself: its owner asks which call is due, makes it and passes the response
+/// back.
 #ifndef THYMEWALL_INTENT_READER_H
 #define THYMEWALL_INTENT_READER_H
 
@@ -12,109 +12,111 @@
 
 namespace thymewall {
 
-/// One call of the configuration service.
+/// A call of the configuration service.
 struct ConfigRequest {
   enum class Kind : std::uint8_t {
-    /// What was published some seconds ago at most, at a tenth of the cost of
-    /// a list: everything, or some parts of a long list.
+    /// A list that may be some seconds old and costs a tenth of a current one:
+    /// everything, or some parts of a long list.
     StaleList,
-    List, ///< Everything that is published.
-    Watch ///< What has changed since a revision, as soon as there is some.
+    List, ///< The full current list.
+    Watch ///< Changes since a revision, as soon as there are any.
   };
   Kind Kind_ = Kind::List;
   Revision After_ = 0;
-  std::uint8_t FirstPart_ = 0; ///< Of a long stale list.
-  MonoTime WaitUntil_{};       ///< A watch without news is answered by then.
-  /// No answer, or no first page of a list, by then counts as a failure.
+  std::uint8_t FirstPart_ = 0; ///< First part to read of a long stale list.
+  MonoTime WaitUntil_{};       ///< When a watch without changes is answered.
+  /// Deadline for the response, or for the first page of a list.
   MonoTime GiveUpAt_{};
 };
 
-/// What came of a call.
+/// Result of a call.
 struct ConfigResponse {
   enum class Outcome : std::uint8_t {
     Done,
-    Stale,       ///< A stale list: it shows nothing to be absent or current.
-    HistoryGone, ///< The changes since the revision are no longer known.
-    Refused,     ///< Answered, but not served.
-    Failed       ///< No answer, or none that could be read.
+    Stale,       ///< Stale list; may lack current entries.
+    HistoryGone, ///< Changes since the revision are no longer available.
+    Refused,     ///< The service answered with an error.
+    Failed       ///< No response, or one that can't be decoded.
   };
   Outcome Outcome_ = Outcome::Failed;
-  std::string Reason_;      ///< Why it was not done, for logs.
-  RoutingTablePtr Routing_; ///< Null when it has not changed.
+  std::string Reason_;      ///< Cause of a failure, for logs.
+  RoutingTablePtr Routing_; ///< Null if unchanged.
   UpstreamBatch Batch_;
   EvacuationBatch Evacuations_;
-  /// The parts that a stale list has; nothing when it has all of them.
+  /// Parts that a stale list covers; empty if it covers all of them.
   std::optional<ListParts> Parts_;
-  std::size_t RefusedItems_ = 0; ///< Published items that could not be read.
+  std::size_t RefusedItems_ = 0; ///< Published items that can't be decoded.
 };
 
-/// Decides when this process reads the configuration service.
+/// Decides when this process calls the configuration service.
 class ConfigReader {
 public:
-  /// How long a watch waits: bounds what a connection that has died silently
-  /// can hide, and tells the fleet twice a second that its knowledge is recent.
+  /// Duration of a watch without changes. Bounds how long a dead connection
+  /// goes unnoticed, and confirms the state to the fleet twice a second.
   static constexpr Micros WatchTimeout = std::chrono::milliseconds(500);
-  /// Pause after news, so that one call takes several changes in.
+  /// Pause after changes, so that one call collects several of them.
   static constexpr Micros PauseAfterChange = std::chrono::milliseconds(300);
-  /// Time beyond its wait within which an answer must come: the service
-  /// answers in milliseconds, and in 0.3 s when it is slow.
+  /// Deadline for a response beyond the duration of its watch. The service
+  /// answers within milliseconds, or 0.3 s when it is slow.
   static constexpr Micros ResponseTimeout = std::chrono::milliseconds(1000);
-  /// A start that has a stale list leaves peers this long, and up to
-  /// `PeerUpdateJitter` more, to tell it what is current before it reads that
-  /// itself. Links open and a list comes in some ten milliseconds; of a fleet
-  /// that starts together the first to read tell the others within half a
-  /// second. The stale list serves callers meanwhile.
+  /// Wait for peers after a stale list, plus up to `PeerUpdateJitter`, before
+  /// the current list is read. Links open and a list arrives within tens of
+  /// milliseconds; when a whole fleet starts, the first readers inform the
+  /// others within half a second. The stale list serves callers meanwhile.
   static constexpr Micros PeerUpdateWait = std::chrono::milliseconds(100);
   static constexpr Micros PeerUpdateJitter = std::chrono::milliseconds(900);
-  /// Both are shorter where few upstreams are listed: some hosts that read a
-  /// short list each cost less than what its age costs callers.
+  /// Shorter waits for a short list: its stale state costs callers more than
+  /// some additional reads cost the service.
   static constexpr Micros PeerUpdateWaitPerUpstream =
       std::chrono::microseconds(1000);
   static constexpr Micros PeerUpdateJitterPerUpstream =
       std::chrono::microseconds(1500);
-  /// A balancer that has parts of a long list leaves peers this long, and up to
-  /// `MaxFleetJitter` more, to tell the rest: a whole list takes about a second
-  /// to read, and hundreds that read it at once take the service's whole link.
+  /// Wait for peers after some parts of a long list, plus up to
+  /// `MaxFleetJitter`, before the full list is read. A full list takes about a
+  /// second to read, and hundreds of readers at once would saturate the
+  /// service's link.
   static constexpr Micros PartsExchangeWait = std::chrono::milliseconds(2500);
-  /// The same for a seed, which all others find first: of a fleet that starts
-  /// at once only these read the whole list.
+  /// The same wait for a seed. All others connect to the seeds first, so only
+  /// these read the full list when a fleet starts.
   static constexpr Micros SeedListDelay = std::chrono::milliseconds(300);
-  /// So many failed calls for a stale list in a row mean that there are none.
-  /// Fewer are an outage, after which a whole fleet must not ask for lists.
+  /// Consecutive failed calls after which the service counts as having no stale
+  /// lists. Fewer failures are treated as an outage, after which a whole fleet
+  /// must not read full lists.
   static constexpr std::size_t MaxStaleListAttempts = 8;
-  /// Pauses after failures double between these.
+  /// Bounds of the exponential backoff after failures.
   static constexpr Micros InitialBackoff = std::chrono::milliseconds(150);
   static constexpr Micros MaxBackoff = std::chrono::milliseconds(1200);
-  /// When many fail together the longest pause grows with their number, so that
-  /// a whole fleet makes about this many calls a second.
+  /// Target rate of failing calls of the whole fleet; the upper bound of the
+  /// backoff grows with the size of the fleet to meet it.
   static constexpr std::size_t FleetRetriesPerSecond = 8;
-  /// In a fleet that shares failures so, those that know something spread their
-  /// next calls over as long, at most this: the first to be served tells all.
-  /// The bound is for a few that reach no other.
+  /// Upper bound of the jitter that spreads the next calls of a large fleet
+  /// after failures: the first balancer that is served informs the others. It
+  /// bounds the wait of those that can't reach any peer.
   static constexpr Micros MaxFleetJitter = std::chrono::seconds(10);
 
-  /// \p Jitter in [0, 1) keeps processes that start together apart.
-  /// \p IsSeed: others find their peers through this one.
+  /// \p Jitter in [0, 1) desynchronizes processes that start together. \p
+  /// IsSeed is true for a process that others connect to first.
   explicit ConfigReader(double Jitter, bool IsSeed = false)
       : JitterFraction_(Jitter), IsSeed_(IsSeed) {}
 
-  /// The call that is due at \p Now, if any; at most one is under way. None
-  /// starts before \p NotBefore: others keep this process informed until then.
+  /// Returns the call that is due at \p Now, if any. At most one call is in
+  /// flight, and none starts before \p NotBefore, until when peers keep this
+  /// process up to date.
   std::optional<ConfigRequest> next(MonoTime Now, MonoTime NotBefore);
-  /// When `next` should be asked again; the far future while a call is under
-  /// way.
+  /// Returns when to ask `next` again; `MonoTime::max()` while a call is in
+  /// flight.
   MonoTime dueAt(MonoTime NotBefore) const;
-  /// Takes the answer of the call under way in; \p FleetSize processes share
-  /// the reading.
+  /// Handles the response to the call in flight. \p FleetSize is the number of
+  /// processes that share the service.
   void answered(MonoTime Now, const ConfigResponse &Response,
                 std::size_t FleetSize);
-  /// Everything through \p Through is known, whoever told it.
+  /// All changes through \p Through are known, from the service or from peers.
   void noteRevision(Revision Through);
-  /// Nobody can tell the rest: a call that only left time for peers is due.
+  /// No peer is available: ends a wait for peers.
   void noPeersFound(MonoTime Now);
-  /// The next call must read everything.
+  /// Makes the next call read the full list.
   void requestList() { ListNeeded_ = true; }
-  /// All changes up to this time are in the last answer.
+  /// Returns the time up to which the last response includes all changes.
   MonoTime completeAt() const { return CompleteAt_; }
 
 private:
@@ -132,9 +134,9 @@
   MonoTime CompleteAt_{};
   Micros Backoff_ = InitialBackoff;
   bool ListNeeded_ = true;
-  bool StaleListNeeded_ = true; ///< First: nothing is known.
+  bool StaleListNeeded_ = true; ///< At first, nothing is known.
   std::size_t StaleListAttempts_ = 0;
-  bool WaitingForPeers_ = false; ///< Has parts only.
+  bool WaitingForPeers_ = false; ///< Has only some parts of the list.
   bool InFlight_ = false;
 };
 
--- a/include/thymewall/list-parts.h
+++ b/include/thymewall/list-parts.h
@@ -1,7 +1,7 @@
 /// \file
-/// Parts of the published list of upstreams. A fleet that starts at once must
-/// not read the whole list once for each balancer: each reads a few parts, and
-/// peers exchange the others.
+/// Parts of the published list of upstreams. When a whole fleet starts at once,
+/// each balancer reads only a few parts and gets the others from its peers, so
+/// that the full list isn't read once per balancer.
 #ifndef THYMEWALL_LIST_PARTS_H
 #define THYMEWALL_LIST_PARTS_H
 
@@ -11,30 +11,30 @@
 
 namespace thymewall {
 
-/// How many parts of about equal size a list has, whatever its length. An
-/// upstream is always in the same part.
+/// Number of parts of a list, about equal in size, whatever its length. An
+/// upstream always belongs to the same part.
 constexpr std::size_t ListPartCount = 256;
-/// A set of parts.
 using ListParts = std::bitset<ListPartCount>;
 
 inline ListParts allParts() { return ListParts{}.set(); }
 
-/// Which parts of a list a balancer that starts should read: enough of them to
-/// open flows by, or the whole list where that is short.
+/// Selects the parts that a balancer reads at its start: enough upstreams to
+/// open flows, or the full list if it is short.
 class PartReadPlan {
 public:
-  /// A list whose parts have fewer upstreams is short: less than some 1,000.
+  /// A list with fewer upstreams per part is short: less than about 1,000 in
+  /// total.
   static constexpr std::size_t MinUpstreamsPerPart = 4;
-  /// Upstreams enough to spread the flows of one balancer.
+  /// Enough upstreams to spread the flows of one balancer.
   static constexpr std::size_t MinUpstreamsAtStart = 64;
 
-  /// \p First keeps balancers that start together at different parts.
+  /// \p First is the first part to read; it should differ between balancers.
   explicit PartReadPlan(std::uint8_t First) : NextPart_(First) {}
 
   std::uint8_t nextPart() const { return NextPart_; }
-  /// The part `nextPart()` was read and has so many upstreams.
+  /// Records that the part `nextPart()` was read and has \p Upstreams entries.
   void addPart(std::size_t Upstreams);
-  /// The parts that were read are small: reading the whole list costs less.
+  /// Whether the parts are so small that reading the full list costs less.
   bool listIsShort() const;
   bool hasEnough() const;
   const ListParts &parts() const { return Parts_; }
--- a/include/thymewall/news-message.h
+++ b/include/thymewall/news-message.h
@@ -1,6 +1,6 @@
 /// \file
-/// What packet balancers tell each other: heartbeats, the published state to
-/// those that are behind, and warnings of upstreams. Encoded as CBOR.
+/// Gossip messages between packet balancers: heartbeats, requests and updates
+/// of the published state, and warnings about upstreams. Encoded as CBOR.
 #ifndef THYMEWALL_NEWS_MESSAGE_H
 #define THYMEWALL_NEWS_MESSAGE_H
 
@@ -13,19 +13,20 @@
 
 namespace thymewall {
 
-/// Another packet balancer, as it is found and linked to.
+/// Another packet balancer of the fleet.
 struct Member {
   std::string Name_;
   std::string DataHall_;
   Endpoint Control_;
-  /// Since it was last known to be alive, when the message was sent.
+  /// Time since the member was last known to be alive, when the message was
+  /// sent.
   std::uint32_t AgeMs_ = 0;
 };
 
-/// Sent on every link when the sender's knowledge has become more recent, and
-/// once a second anyway.
+/// Sent on every link once per `GossipNode::HeartbeatInterval`, and at once
+/// when the sender's state was confirmed more recently.
 struct PeerHeartbeat {
-  /// `StateAgeMs_` of a sender that has never heard of the configuration
+  /// Age of the state of a sender that has never heard from the configuration
   /// service.
   static constexpr std::uint32_t UnknownAgeMs = ~0U;
 
@@ -33,62 +34,64 @@
   bool Leaving_ = false;
   Version Routing_ = 0;
   Revision Through_ = 0;
-  /// What the sender holds was complete this long ago.
+  /// Time since the sender's state was last confirmed to be complete.
   std::uint32_t StateAgeMs_ = UnknownAgeMs;
-  /// Place in the order of readers, and age of the last answer, of the first
-  /// reader that the sender has heard of lately. `UnknownAgeMs` for none.
+  /// Reader with the lowest score that the sender has recently heard of, and
+  /// the age of that reader's last answer; `UnknownAgeMs` if there is none.
   std::uint64_t ReaderScore_ = 0;
   std::uint32_t ReaderAgeMs_ = UnknownAgeMs;
-  /// The same of the first balancer that is known to live, and how long ago it
-  /// said so.
+  /// Live balancer with the lowest score that the sender knows, and the age of
+  /// its last sign of life; `UnknownAgeMs` if there is none.
   std::uint64_t FirstAliveScore_ = 0;
   std::uint32_t FirstAliveAgeMs_ = UnknownAgeMs;
-  /// Counts the sender's heartbeats on this link, and the last count that it
-  /// had from the receiver: shows how old the message can be.
+  /// Number of this heartbeat on the link, and the number of the last heartbeat
+  /// received from the peer. The echo bounds the age of the message.
   std::uint64_t Sequence_ = 0;
   std::uint64_t EchoedSequence_ = 0;
-  /// Since the sender started, or last slept: it has just come when this is
-  /// short.
+  /// Time since the sender started or was last suspended.
   std::uint32_t UptimeMs_ = 0;
-  /// Upstreams that it lists, and the parts of the list that it has while it
-  /// doesn't know through which revision (`Through_` is 0).
+  /// Number of upstreams in the sender's list, and the parts it has while the
+  /// list has no revision yet (`Through_` is 0).
   std::uint32_t UpstreamCount_ = 0;
   ListParts Parts_{};
   std::vector<Member> Members_;
 };
 
-/// Asks for what is newer than this.
+/// Requests what is newer than the sender's state.
 struct StateRequest {
   Version Routing_ = 0;
   Revision Through_ = 0;
-  /// Also for upstreams that have ended: the sender has just started.
+  /// Whether to include ended upstreams; set by a balancer that has just
+  /// started.
   bool IncludeEnded_ = false;
-  /// If any: nothing but these parts, as far as the receiver has them.
+  /// If any are set, only these parts are requested, as far as the receiver has
+  /// them.
   ListParts Parts_{};
-  /// What the sender has of each part, when it has all of them.
+  /// Digests of all parts, if the sender has all of them.
   std::optional<PartDigests> Digests_{};
 };
 
-/// The answer to `StateRequest`.
+/// Response to a `StateRequest`.
 struct StateUpdate {
-  RoutingTablePtr Routing_; ///< Null when the receiver has it.
+  RoutingTablePtr Routing_; ///< Null if the requester is up to date.
   UpstreamBatch Upstreams_;
-  EvacuationBatch Evacuations_; ///< Always whole.
-  /// As in a heartbeat.
+  EvacuationBatch Evacuations_; ///< Always a full snapshot.
+  /// See `PeerHeartbeat::StateAgeMs_`.
   std::uint32_t StateAgeMs_ = PeerHeartbeat::UnknownAgeMs;
-  /// If any: the answer is nothing but these parts.
+  /// If any are set, the update holds only these parts.
   ListParts Parts_{};
 };
 
 using GossipMessage =
     std::variant<PeerHeartbeat, StateRequest, StateUpdate, UpstreamWarning>;
 
-/// Largest message: 67,000 upstreams at about 60 bytes.
+/// Fits 67,000 upstreams of about 60 bytes each.
 constexpr std::size_t MaxGossipMessageBytes = 8 << 20;
 
-/// Times of upstreams are sent as what is left of them at \p Now.
+/// Encodes \p M. Deadlines of upstreams are sent as the time left at \p Now.
 std::string encodeGossip(const GossipMessage &M, MonoTime Now);
-/// `Malformed` or `Oversized` leave \p M as it was.
+/// Decodes \p Bytes into \p M. Returns `Malformed` or `Oversized` on error and
+/// leaves \p M unchanged.
 ErrorKind decodeGossip(const std::string &Bytes, MonoTime Now,
                        GossipMessage &M);
 
--- a/include/thymewall/news.h
+++ b/include/thymewall/news.h
@@ -1,11 +1,12 @@
 /// \file
-/// How published state spreads among packet balancers, and which of them read
-/// the configuration service. One reader serves the whole fleet: its knowledge
-/// spreads with its age, and a balancer whose knowledge grows old reads for
-/// itself, those of a better rank first. Nothing is elected: a reader that
-/// dies, sleeps, is cut off or turned away is replaced because ages grow.
+/// Gossip of the published state among packet balancers, and the choice of the
+/// balancer that reads the configuration service. Normally one reader serves
+/// the whole fleet: its state spreads together with its age, and a balancer
+/// whose state becomes too old reads for itself, those with the lowest reader
+/// score first. There is no election: a reader that fails, is suspended,
+/// partitioned or refused is replaced because its state ages.
 ///
-/// Pure: links are numbers that a harness gives to its connections.
+/// Does no I/O: links are numbers that the caller assigns to its connections.
 #ifndef THYMEWALL_NEWS_H
 #define THYMEWALL_NEWS_H
 
@@ -21,24 +22,24 @@
 
 enum class LinkId : std::uint64_t {};
 
-/// What the exchange wants done.
+/// Callbacks for outgoing messages, connections and changes of state.
 struct GossipHooks {
   std::function<void(LinkId, const GossipMessage &)> Send_;
   std::function<void(const Endpoint &Control)> Connect_;
   std::function<void(LinkId)> Close_;
-  /// A newer routing table is known.
+  /// A newer routing table has arrived.
   std::function<void(const RoutingTablePtr &)> OnRouting_;
-  /// Upstreams have changed. \p MayReturn: nobody had heard of the
-  /// configuration service for a while, so missing ones may come back.
+  /// Upstreams have changed. \p MayReturn is set after an outage of the
+  /// configuration service: upstreams missing from the list may come back.
   std::function<void(const std::vector<UpstreamChange> &, bool MayReturn)>
       OnUpstreams_;
-  /// Data halls are evacuated or taken back.
+  /// Evacuations of data halls have changed.
   std::function<void(const std::vector<EvacuationChange> &)> OnEvacuations_;
-  /// Everything that was published up to \p AsOf is known.
+  /// The state is complete as of \p AsOf.
   std::function<void(MonoTime AsOf)> OnConfirmed_;
-  /// A peer warns of an upstream.
+  /// A peer has sent a warning about an upstream.
   std::function<void(const UpstreamWarning &)> OnWarning_;
-  /// A peer has come \p At, from a start or a sleep; may be left out.
+  /// A peer started or resumed \p At. Optional.
   std::function<void(MonoTime At)> OnPeerJoined_;
 };
 
@@ -53,12 +54,12 @@
   std::uint64_t UpdatesReceived_ = 0;
   std::uint64_t RevisionGaps_ = 0;
   std::uint64_t StaleConfirmations_ = 0;
-  std::uint64_t WarningsSent_ = 0; ///< On all links.
+  std::uint64_t WarningsSent_ = 0; ///< Counted once per link.
   std::size_t Links_ = 0;
   std::size_t Members_ = 0;
 };
 
-/// A peer as operators see it.
+/// Status of a member for the operators' pages.
 struct MemberStatus {
   Member Peer_;
   bool Linked_ = false;
@@ -66,65 +67,66 @@
 
 class GossipNode {
 public:
-  /// Links that a balancer opens: with those that others open to it, about
-  /// twice as many, which keeps a fleet connected when a third of it is gone.
+  /// Links that a balancer opens. Together with inbound links it has about
+  /// twice as many, which keeps a fleet connected when a third of it is lost.
   static constexpr std::size_t OutboundLinks = 3;
   static constexpr Micros HeartbeatInterval = std::chrono::milliseconds(1000);
-  /// Knowledge that is this much more recent is told at once.
+  /// A confirmation that is more recent by at least this is sent at once.
   static constexpr Micros ConfirmationStep = std::chrono::milliseconds(200);
-  /// A link that is silent for longer is closed.
+  /// A link without messages for longer is closed.
   static constexpr Micros LinkTimeout = std::chrono::milliseconds(2500);
-  /// A claim of knowledge counts only if it was made after a heartbeat of ours
-  /// that is not older than this: bounds by how much a held-up message can
-  /// make knowledge look younger than it is.
+  /// A peer's confirmation counts only if it echoes a heartbeat that was sent
+  /// at most this long ago. Bounds how much a delayed message can understate
+  /// the age of its state.
   static constexpr Micros MaxEchoAge = std::chrono::milliseconds(1200);
-  /// Age of knowledge at which the next balancers read for themselves: the
-  /// reader confirms every 0.5 s, and every 1.1 s while there is news. Each
-  /// balancer of the order waits a step more than the one before it; in a large
-  /// fleet without a bound, else all those beyond it would read at once.
+  /// State older than this lets the next balancer read. The reader confirms
+  /// every 0.5 s, or every 1.1 s while there are changes. Each further rank
+  /// waits one more step; the steps aren't bounded in a large fleet, where all
+  /// balancers beyond the bound would read at once.
   static constexpr Micros TakeoverAge = std::chrono::milliseconds(1500);
   static constexpr Micros TakeoverStep = std::chrono::milliseconds(100);
-  /// Word of the first that lives is passed on when it is so much fresher: less
-  /// than the time of a heartbeat, more than that of a confirmation.
+  /// Minimum advance of the first live balancer's last sign of life that is
+  /// forwarded at once: shorter than a heartbeat interval, longer than the
+  /// interval of confirmations.
   static constexpr Micros AliveUpdateStep = std::chrono::milliseconds(800);
-  /// Steps of a fleet in which each hears of all members.
+  /// Upper bound on steps in a fleet where each balancer tracks all members.
   static constexpr std::size_t MaxTakeoverSteps = 8;
-  /// In a part of a larger fleet that is cut off from the first of the order,
-  /// over which its members spread their reading.
+  /// Range over which the members of a network partition spread their first
+  /// reads when the balancer of rank 0 is on the other side.
   static constexpr Micros PartitionJitter = std::chrono::milliseconds(800);
-  /// A step for a balancer that knows nothing yet: of a fleet that starts at
-  /// once few read before the first has told the others.
+  /// Delay per rank of the first read after a start, so that few balancers of a
+  /// fleet that starts at once read before the first shares its state.
   static constexpr Micros StartupReadStep = std::chrono::milliseconds(10);
-  /// A balancer that has read once gives its peers this long to tell it who
-  /// reads before it reads again: links open in some ten milliseconds, and the
-  /// reader confirms what is known every 0.5 s.
+  /// Pause after a balancer's first read: time for peers to report the current
+  /// reader. Links open within tens of milliseconds, and the reader confirms
+  /// every 0.5 s.
   static constexpr Micros FirstReadPause = std::chrono::milliseconds(700);
-  /// Older knowledge means that the configuration service was away.
+  /// State older than this means that the configuration service had an outage.
   static constexpr Micros OutageAge = std::chrono::milliseconds(2500);
-  /// A peer that could not be reached, or was lost, is not linked to again for
-  /// this long; it links to others itself when it is back.
+  /// Delay before reconnecting to a peer that was lost or unreachable; a peer
+  /// that is back opens links itself.
   static constexpr Micros ReconnectDelay = std::chrono::milliseconds(2000);
-  /// An answer to a request for news must come by then; else another is asked.
+  /// Deadline for an answer to a state request; another peer is asked after it.
   static constexpr Micros RequestTimeout = std::chrono::milliseconds(300);
 
-  /// A peer that has been running for less has just come.
+  /// A peer with a shorter uptime has just joined.
   static constexpr Micros RecentStartAge = std::chrono::milliseconds(3000);
-  /// Without a tick for so long this process has slept.
+  /// A process without a tick for this long was suspended.
   static constexpr Micros SuspendThreshold = std::chrono::milliseconds(1250);
 
-  /// Links that a balancer goes on accepting; further peers are told of members
-  /// and sent on to them. Else a seed holds a link to every balancer of a fleet
-  /// that starts.
+  /// Inbound links that are kept open. Further peers receive members to connect
+  /// to and are disconnected; otherwise a seed would hold a link to every
+  /// balancer of a fleet that starts.
   static constexpr std::size_t MaxInboundLinks = 32;
-  /// Upstreams, about, that a start asks one peer for at once: what a message
-  /// of some 40 KB holds.
+  /// Approximate number of upstreams requested from one peer at a time by a
+  /// balancer that starts; a message of about 40 KB.
   static constexpr std::size_t UpstreamsPerRequest = 768;
 
-  /// A warning goes through the fleet once in this time.
+  /// A warning is forwarded at most once in this interval.
   static constexpr Micros WarningInterval = std::chrono::milliseconds(1000);
-  /// Different warnings of each kind in that time; more are not told: 6 links
-  /// of 24 bytes and TCP's headers make 45 KB, once a data hall of upstreams is
-  /// lost. Silence when hosts come back doesn't crowd out the dead.
+  /// Bound per kind of warning. On 6 links, at 24 bytes plus TCP headers, it
+  /// limits the loss of a whole data hall to 45 KB. Counting kinds apart keeps
+  /// stalls from crowding out dead upstreams.
   static constexpr std::size_t MaxWarningsPerInterval = 128;
 
   GossipNode(GossipOptions Options, GossipHooks Hooks);
@@ -132,38 +134,40 @@
 
   void opened(MonoTime Now, LinkId Link, bool Outbound);
   void closed(MonoTime Now, LinkId Link);
-  /// A connection that was asked for has failed.
+  /// An attempt to connect to \p Control has failed.
   void connectFailed(MonoTime Now, const Endpoint &Control);
   void received(MonoTime Now, LinkId Link, const GossipMessage &M);
-  /// The configuration service was read; what it answered was complete at
-  /// \p AsOf. False when changes are missing, so that the whole list is needed.
+  /// The configuration service has answered with a state that was complete at
+  /// \p AsOf. Returns false if changes are missing and the full list must be
+  /// read.
   bool readSucceeded(MonoTime Now, const ConfigResponse &Answer, MonoTime AsOf);
-  /// A stale list was read: callers can be served by it, but peers or a list
-  /// have yet to tell what is current.
+  /// A stale list was read. It suffices to serve callers, but doesn't make the
+  /// state current.
   void staleListRead(MonoTime Now, const ConfigResponse &Answer);
-  /// A call of the configuration service was not served: another may take over.
+  /// A call of the configuration service failed; another balancer may take
+  /// over.
   void readFailed();
-  /// This balancer has begun to read the whole list for the fleet.
+  /// This balancer has begun to read the full list for the fleet.
   void listReadStarted(MonoTime Now);
-  /// This balancer has evidence against an upstream: tells the fleet.
+  /// Sends a warning about an upstream to the fleet.
   void warn(MonoTime Now, const UpstreamWarning &M);
   void setLeaving(MonoTime Now);
   void setSeeds(std::vector<Endpoint> Seeds);
   void tick(MonoTime Now);
 
-  /// When this balancer should read the configuration service itself.
+  /// Returns when this balancer should next read the configuration service.
   MonoTime nextReadAt() const;
-  /// Everything through this revision is known.
+  /// Returns the revision up to which all changes are known.
   Revision through() const;
   MonoTime confirmedAsOf() const;
-  /// Balancers that share the reading, at least 1 (this one).
+  /// Returns the estimated number of balancers, at least 1 (this one).
   std::size_t fleetSize() const;
   FleetView fleetView(MonoTime Now) const;
-  /// Most of this balancer's data hall is dead, and another data hall is well.
-  /// The fabric goes on using every host of a data hall in which fewer than
-  /// half answer, dead ones too, but none of a hall in which nobody does: the
-  /// living then serve callers best by answering that they are not ready.
-  /// Always false where members are too many for each to hear of all in time.
+  /// Whether most of this balancer's data hall is dead while another data hall
+  /// is healthy. The fabric keeps using all hosts of a data hall, dead ones
+  /// included, if fewer than half of them respond, but none if no host
+  /// responds: the live ones should then report not ready. Always false in a
+  /// fleet too large for each balancer to track all members.
   bool isDataHallLost(MonoTime Now) const;
   GossipCounters counters() const;
   std::vector<MemberStatus> peers() const;
--- a/include/thymewall/succession.h
+++ b/include/thymewall/succession.h
@@ -1,6 +1,6 @@
 /// \file
-/// The statement by which a balancer that stops on purpose names, once and for
-/// all, which processes answer for its flows afterwards.
+/// Handover of flows by a balancer that stops: a final record of the processes
+/// that own its flows afterwards.
 #ifndef THYMEWALL_SUCCESSION_H
 #define THYMEWALL_SUCCESSION_H
 
@@ -18,10 +18,10 @@
   return A.Data_ == B.Data_ && A.Incarnation_ == B.Incarnation_;
 }
 
-/// The process `Home_` hands on no request after it has made this statement,
-/// and every request that it handed on before has a deadline at or before
-/// `Fence_`. A successor may therefore run a request of the old home whose
-/// deadline is later: nobody has run it.
+/// After this record the process `Home_` forwards no request, and every request
+/// that it forwarded earlier has a deadline at or before `Fence_`. A successor
+/// may therefore run a request of the old home with a later deadline: nobody
+/// has run it.
 struct Succession {
   Incarnation Home_{};
   WallTime Fence_{};
@@ -32,7 +32,7 @@
          A.Successors_ == B.Successors_;
 }
 
-/// The one process that answers for a flow of the old home.
+/// Returns the successor that owns a flow of the old home.
 inline const Successor &successorOf(const Succession &S, const FlowKey &Flow) {
   return S.Successors_[FlowRow::hash(Flow) % S.Successors_.size()];
 }
--- a/src/intent-reader.cc
+++ b/src/intent-reader.cc
@@ -44,7 +44,7 @@
 MonoTime ConfigReader::dueAt(MonoTime NotBefore) const {
   if (InFlight_)
     return MonoTime::max();
-  // A start reads what it serves by, whoever reads for the fleet.
+  // A starting balancer reads a list to serve by, whoever reads for the fleet.
   bool Starting = ListNeeded_ && StaleListNeeded_;
   return Starting ? DueAt_ : std::max(DueAt_, NotBefore);
 }
@@ -53,7 +53,7 @@
   if (Through <= Through_)
     return;
   Through_ = Through;
-  ListNeeded_ = false; // changes after it can be watched for
+  ListNeeded_ = false; // a watch can continue from here
   StaleListNeeded_ = false;
   WaitingForPeers_ = false;
 }
@@ -76,8 +76,8 @@
   case ConfigResponse::Outcome::Done:
     noteRevision(Response.Batch_.Through_);
     ListNeeded_ = false;
-    // A watch that waited to its end without news was complete then; one that
-    // was answered early may have been answered right after it was sent.
+    // A watch that timed out without changes is complete as of its end. One
+    // that returned early may have been answered right after it was sent.
     CompleteAt_ =
         hasChanges(Response) || Now < WaitUntil_ ? SentAt_ : WaitUntil_;
     return;
@@ -92,8 +92,8 @@
   }
 }
 
-/// An empty list says nothing of how long the current one is: all start before
-/// any upstream does.
+/// An empty list gives no estimate of the current length: the fleet may have
+/// started before any upstream.
 Micros ConfigReader::peerWait(const ConfigResponse &StaleList) const {
   if (StaleList.Parts_)
     return IsSeed_
@@ -113,7 +113,7 @@
                                 std::size_t FleetSize) {
   if (Response.Outcome_ == ConfigResponse::Outcome::Done) {
     Backoff_ = InitialBackoff;
-    // A service that doesn't wait must not be asked without a pause.
+    // Avoids a busy loop if the service doesn't wait.
     bool Early = Now < WaitUntil_ - WatchTimeout / 2;
     return hasChanges(Response) || Early ? PauseAfterChange : Micros(0);
   }
--- a/src/list-parts.cc
+++ b/src/list-parts.cc
@@ -4,8 +4,8 @@
 
 namespace {
 
-/// Odd, so that all parts come in turn; far apart, so that balancers whose
-/// first parts are neighbours share no other one.
+/// Odd, so that all parts come in turn; large, so that balancers with adjacent
+/// first parts share few others.
 constexpr std::uint8_t PartStep = 97;
 
 } // namespace
--- a/src/member-list.cc
+++ b/src/member-list.cc
@@ -124,8 +124,8 @@
   return {Told};
 }
 
-/// Scores are spread evenly: the last of the first ones tells how many
-/// balancers there are up to it.
+/// Scores are uniformly distributed, so the highest of the lowest scores gives
+/// their density.
 double MemberList::balancersPerScore() const {
   std::uint64_t Last = firstReaders().back()->Score_;
   return static_cast<double>(FirstReaderCount) / static_cast<double>(Last);
--- a/src/member-list.h
+++ b/src/member-list.h
@@ -1,5 +1,5 @@
 /// \file
-/// The other balancers of a fleet, as a balancer has heard of them.
+/// Membership of the fleet, as a balancer knows it from gossip.
 #ifndef THYMEWALL_SRC_MEMBER_LIST_H
 #define THYMEWALL_SRC_MEMBER_LIST_H
 
@@ -10,60 +10,63 @@
 
 namespace thymewall::detail {
 
-/// Age of a moment, as messages carry it.
+/// Returns the age of \p At in milliseconds, at least 0.
 std::uint32_t ageMs(MonoTime At, MonoTime Now);
 
 class MemberList {
 public:
-  /// A member not known to be alive for this long is forgotten.
+  /// A member without a sign of life for longer is removed.
   static constexpr Micros MemberTimeout = std::chrono::seconds(20);
-  /// Heartbeats come at least once a second; a quarter more for a slow host.
+  /// A member with a more recent sign of life is alive: the heartbeat interval,
+  /// plus a margin for a slow host.
   static constexpr Micros AliveWithin = std::chrono::milliseconds(1300);
-  /// Members that each balancer hears of within a heartbeat's time: 3 on each
-  /// of 6 links. In a larger fleet silence of one says nothing.
+  /// Members that each balancer hears of within a heartbeat interval: 3 on each
+  /// of 6 links. In a larger fleet the silence of a member has no meaning.
   static constexpr std::size_t MaxTrackedMembers = 18;
 
-  /// The first members in the order of readers, which every balancer is to
-  /// know whatever the size of the fleet.
+  /// Members of the lowest reader scores, which every balancer tracks in a
+  /// fleet of any size.
   static constexpr std::size_t FirstReaderCount = 8;
 
-  /// \p Self is never listed.
+  /// \p Self, the name of this balancer, is never added.
   explicit MemberList(std::string Self) : Self_(std::move(Self)) {}
 
-  /// Takes in what a peer says of a member, unless more recent is known.
+  /// Records what a peer reports about a member, unless newer is known.
   void learn(MonoTime Now, const Member &Told);
   void remove(const std::string &Name) { Members_.erase(Name); }
   void expireSilent(MonoTime Now);
-  /// Not to be linked to before \p Until.
+  /// Excludes a member from `reachable` until \p Until.
   void avoid(const std::string &Name, MonoTime Until);
   void avoid(const Endpoint &Control, MonoTime Until);
 
-  /// Fewer than half of the members of \p Hall live, \p Self, which is one of
-  /// them, among the living; and another data hall is well.
+  /// Whether fewer than half of the members of \p Hall, among them this
+  /// balancer, are alive while another data hall is healthy.
   bool isDataHallLost(MonoTime Now, const std::string &Hall) const;
 
   std::size_t size() const { return Members_.size(); }
   std::size_t countIf(const std::function<bool(const Member &)> &Wanted) const;
   std::vector<Member> all() const;
-  /// Those that are not avoided at \p Now.
+  /// Returns the members that aren't excluded at \p Now.
   std::vector<Member> reachable(MonoTime Now) const;
-  /// The next \p Count members, in turn, with their ages.
+  /// Returns the next \p Count members in round-robin order, with their ages.
   std::vector<Member> nextMembers(MonoTime Now, std::size_t Count);
-  /// One of the first in the order of readers, in turn; none where each hears
-  /// of all members anyway.
+  /// Returns one of the members of the lowest reader scores, in round-robin
+  /// order; none if each balancer tracks all members.
   std::vector<Member> nextFirstReader(MonoTime Now);
 
-  /// Members are so few that this balancer hears of each in a heartbeat's time.
+  /// Whether the fleet is small enough to hear of each member within a
+  /// heartbeat interval.
   bool tracksAllMembers() const { return Members_.size() <= MaxTrackedMembers; }
-  /// Place in the order of readers of a balancer with this score. Where most
-  /// members are not known, judged from how dense the first ones lie: else one
-  /// balancer of each few dozen takes itself for the first.
+  /// Returns the rank of a balancer by reader score. In a large fleet it is
+  /// estimated from the density of the lowest scores; counting known members
+  /// alone would give several balancers rank 0.
   std::size_t rankOf(std::uint64_t Score) const;
-  /// How many balancers there are, this one among them; judged in the same way.
+  /// Returns the number of balancers including this one, estimated likewise in
+  /// a large fleet.
   std::size_t fleetSize() const;
 
 private:
-  /// How many of a data hall are known, and how many of these live.
+  /// Known and live members of a data hall.
   struct HallCount {
     std::size_t Total_ = 0;
     std::size_t Alive_ = 0;
@@ -72,7 +75,7 @@
 
   struct Record {
     Member Member_;
-    std::uint64_t Score_ = 0; ///< In the order of readers.
+    std::uint64_t Score_ = 0; ///< Reader score.
     MonoTime AliveAt_{};
     MonoTime AvoidUntil_{};
   };
@@ -83,7 +86,7 @@
   std::string Self_;
   std::map<std::string, Record> Members_;
   std::string LastSentName_;
-  std::size_t NextFirstReader_ = 0; ///< Of `firstReaders`, to be told.
+  std::size_t NextFirstReader_ = 0; ///< Index into `firstReaders()`.
 };
 
 } // namespace thymewall::detail
--- a/src/news-impl.h
+++ b/src/news-impl.h
@@ -1,6 +1,7 @@
 /// \file
-/// Inside of `GossipNode`: what is known and who reads (news.cc), links and
-/// heartbeats (news-links.cc), and starts by parts of the list (news-parts.cc).
+/// Implementation of `GossipNode`: state and choice of the reader (news.cc),
+/// links and heartbeats (news-links.cc), starts from parts of the list
+/// (news-parts.cc).
 #ifndef THYMEWALL_SRC_NEWS_IMPL_H
 #define THYMEWALL_SRC_NEWS_IMPL_H
 
@@ -16,14 +17,12 @@
 
 namespace detail {
 
-/// The first balancer in the order of readers that something was heard of
-/// lately, and when that was so.
+/// The lowest reader score that was reported recently, and when.
 struct LowestScore {
   std::uint64_t Score_ = 0;
   MonoTime At_{};
 
-  /// Takes in that it was so of \p Score \p At; what is older than \p Within
-  /// counts no more.
+  /// Records \p Score as of \p At. Reports older than \p Within expire.
   void update(std::uint64_t Score, MonoTime At, MonoTime Now, Micros Within) {
     bool Lapsed = Now - At_ >= Within;
     if (Now - At >= Within || (Score > Score_ && !Lapsed))
@@ -33,7 +32,7 @@
   }
 };
 
-/// One connection to a peer.
+/// A connection to a peer.
 struct GossipLink {
   struct SentHeartbeat {
     std::uint64_t Sequence_;
@@ -41,26 +40,27 @@
   };
 
   bool Outbound_ = false;
-  bool Redirected_ = false; ///< One too many: the peer is to link to others.
-  std::string Peer_;        ///< Name, once a heartbeat came.
+  /// Surplus inbound link; closed once the peer knows other members.
+  bool Redirected_ = false;
+  std::string Peer_; ///< Name; empty before the first heartbeat.
   MonoTime ExpiresAt_{};
   std::uint64_t Sequence_ = 0;
   std::uint64_t LastReceivedSequence_ = 0;
   std::deque<SentHeartbeat> SentHeartbeats_;
-  MonoTime RequestedAt_{}; ///< When news was last asked for.
-  /// As the peer's last heartbeat told: what it has of the list.
+  MonoTime RequestedAt_{}; ///< When state was last requested.
+  /// Parts and number of upstreams that the peer's last heartbeat reported.
   ListParts PeerParts_;
   std::uint32_t PeerUpstreamCount_ = 0;
-  /// Parts that it was asked for and has yet to send, at most until then.
+  /// Parts requested from the peer and not received yet, and their deadline.
   ListParts RequestedParts_;
   MonoTime PartsRequestDeadline_{};
   bool RequestedEnded_ = false;
-  /// Questions that wait for their answers, which come in the same order: true
-  /// for those that ask for ended upstreams too. Without the order any three
-  /// news of one peer end the asking of others.
+  /// Requests without a response, in the order of their responses; true for
+  /// those that include ended upstreams. Only their responses count as answers
+  /// on ended upstreams.
   std::deque<bool> PendingRequests_;
 
-  /// True when the answer that has come is one on ended upstreams.
+  /// Removes the oldest request; true if it included ended upstreams.
   bool popRequest() {
     if (PendingRequests_.empty())
       return false;
@@ -69,13 +69,14 @@
     return Ended;
   }
 
-  /// How many upstreams there are, judged by what the peer has of them.
+  /// Estimates the length of the full list from what the peer has of it.
   std::size_t estimatedListSize() const {
     return PeerUpstreamCount_ * ListPartCount /
            std::max<std::size_t>(PeerParts_.count(), 1);
   }
 
-  /// The time after which the peer must have sent a message with this echo.
+  /// Returns when the heartbeat was sent that the peer echoes; a message with
+  /// this echo can't be older.
   MonoTime sentAt(std::uint64_t Echo) const {
     for (const SentHeartbeat &S : SentHeartbeats_)
       if (S.Sequence_ == Echo)
@@ -147,7 +148,7 @@
   void requestIfBehind(MonoTime Now, LinkId Link, const PeerHeartbeat &M);
   void closeDuplicate(LinkId Link, const std::string &Peer);
   bool inboundLinksFull() const;
-  /// The parts of the list that are here, whichever revision they are of.
+  /// Parts of the list that this balancer has, of whatever revision.
   ListParts heldParts() const {
     return List_.through() == 0 ? Parts_ : allParts();
   }
@@ -182,35 +183,36 @@
   GossipCounters Counters_;
   RoutingTablePtr Routing_;
   UpstreamList List_;
-  ListParts Parts_; ///< That `List_` has while it isn't complete.
-  std::size_t AnnouncedParts_ = 0; ///< How many of them peers were told of.
+  ListParts Parts_;                ///< Parts in `List_` while it is incomplete.
+  std::size_t AnnouncedParts_ = 0; ///< Number of parts last sent to peers.
   std::size_t SeedAttempts_ = 0;
-  std::uint64_t ProbeCount_ = 0; ///< Of balancers that look for other parts.
+  std::uint64_t ProbeCount_ = 0; ///< Seeds the random choice of `probeSeeds`.
   EvacuationList Evacuations_;
   std::map<LinkId, detail::GossipLink> Links_;
   detail::MemberList Members_;
   std::set<Endpoint> Connecting_;
   std::map<UpstreamWarning, MonoTime>
-      RecentWarnings_;              ///< Until when not told again.
-  std::uint64_t Score_;             ///< Place in the order of readers.
-  detail::LowestScore FirstReader_; ///< Of those that read, by its last answer.
-  MonoTime AnnouncedAliveAt_{};     ///< `FirstAlive_` when it was last told.
-  detail::LowestScore FirstAlive_;  ///< Of those that live.
-  MonoTime FirstAliveSince_{}; ///< Since when nobody before this one lives.
-  std::uint64_t AnnouncedReader_ =
-      0; ///< Whom of `FirstReader_` peers were told.
+      RecentWarnings_;              ///< Expiry of each warning.
+  std::uint64_t Score_;             ///< Reader score of this balancer.
+  detail::LowestScore FirstReader_; ///< Of readers, by their last answer.
+  MonoTime AnnouncedAliveAt_{};     ///< Last sent time of `FirstAlive_`.
+  detail::LowestScore FirstAlive_;  ///< Of live balancers.
+  /// Since when no live balancer has a lower score.
+  MonoTime FirstAliveSince_{};
+  std::uint64_t AnnouncedReader_ = 0; ///< Last sent `FirstReader_`.
   MonoTime ConfirmedAsOf_{};
-  MonoTime AnnouncedAsOf_{}; ///< `ConfirmedAsOf_` when it was last told.
-  /// Not before: peers have yet to tell who reads.
+  MonoTime AnnouncedAsOf_{}; ///< Last sent `ConfirmedAsOf_`.
+  /// End of the pause after the first read.
   MonoTime ReadPauseUntil_{};
   MonoTime LastTick_{};
-  MonoTime RunningSince_{}; ///< The start, or the end of the last sleep.
+  MonoTime RunningSince_{}; ///< Start, or end of the last suspension.
   MonoTime NextHeartbeatAt_{};
   MonoTime NextMembersAt_{};
   MonoTime NextRequestAt_{};
-  std::size_t EndedResponses_ = 0; ///< Not more are asked for than are needed.
+  std::size_t EndedResponses_ = 0; ///< At most `MaxEndedRequests` are needed.
   bool HasRead_ = false;
-  bool IsReader_ = false; ///< Reads, and knows of no better one that does.
+  /// Reads for the fleet, and knows of no reader with a lower score.
+  bool IsReader_ = false;
   bool Leaving_ = false;
 };
 
--- a/src/news-links.cc
+++ b/src/news-links.cc
@@ -8,17 +8,16 @@
 
 namespace {
 
-/// Members told of when a link opens, and with each heartbeat.
+/// Members sent when a link opens, and with each later heartbeat.
 constexpr std::size_t MembersOnOpen = 64;
 constexpr std::size_t MembersPerHeartbeat = 3;
-/// Of the links that a balancer opens, those to other data halls. In a large
-/// fleet each hall has hundreds of such links, and bytes between halls cost
-/// more than those within one.
+/// Outbound links to other data halls. A large fleet has hundreds of them per
+/// hall, and traffic between halls costs more than within one.
 constexpr std::size_t RemoteHallLinks = 2;
 constexpr std::size_t RemoteHallLinksLargeFleet = 1;
-/// Ticks during which a start without links tries one seed only.
+/// Ticks during which a start without links tries only one seed.
 constexpr std::size_t SingleSeedAttempts = 2;
-/// Heartbeats whose time of sending is remembered for a link.
+/// Sent heartbeats whose times are kept per link.
 constexpr std::size_t MaxSentHeartbeats = 16;
 
 } // namespace
@@ -38,12 +37,12 @@
     return;
   std::string Peer = Known->second.Peer_;
   if (!Known->second.PendingRequests_.empty())
-    NextRequestAt_ = Now; // no answer will come
+    NextRequestAt_ = Now; // no response will come
   Links_.erase(Known);
   if (!linkedTo(Peer))
     Members_.avoid(Peer, Now + ReconnectDelay);
   if (Links_.empty() && !Leaving_)
-    connectToChosen(Now); // a seed may have sent this balancer on
+    connectToChosen(Now); // a seed may have redirected this balancer
 }
 
 void GossipNode::Impl::connectFailed(MonoTime Now, const Endpoint &Control) {
@@ -57,8 +56,7 @@
 }
 
 void GossipNode::Impl::closeDuplicate(LinkId Link, const std::string &Peer) {
-  // Of two links between two balancers, the one that the later name opened
-  // goes.
+  // Of two links between a pair, closes the one opened by the later name.
   auto Count =
       std::count_if(Links_.begin(), Links_.end(), [&](const auto &Item) {
         return Item.second.Peer_ == Peer;
@@ -110,8 +108,8 @@
   AnnouncedReader_ = FirstReader_.Score_;
   AnnouncedAliveAt_ = FirstAlive_.At_;
   NextHeartbeatAt_ = Now + HeartbeatInterval;
-  // Members once in the time of a heartbeat, however often more recent
-  // knowledge is told: they are most of a heartbeat's bytes.
+  // Members are most of a heartbeat's bytes, so they are sent only once per
+  // heartbeat interval.
   bool IncludeMembers = Now >= NextMembersAt_;
   if (IncludeMembers)
     NextMembersAt_ = Now + HeartbeatInterval;
@@ -168,8 +166,9 @@
   return Chosen;
 }
 
-/// First one of the seeds, so that each meets a part of a fleet that starts,
-/// then all. Seeds meet each other at once, which joins the parts.
+/// Tries one seed first, which spreads a starting fleet over its seeds, and all
+/// seeds after some attempts. Seeds connect to each other at once, which joins
+/// their groups.
 void GossipNode::Impl::connectSeeds() {
   const std::vector<Endpoint> &Seeds = Options_.Seeds_;
   bool IsSeed = std::find(Seeds.begin(), Seeds.end(),
@@ -180,8 +179,8 @@
       connectSeed(Seeds[I]);
 }
 
-/// Seeds that are no members are where another part of the fleet may be: at
-/// each tick about one balancer of those that know each other tries.
+/// Looks for other partitions of the fleet at seeds that aren't members. On
+/// average one balancer of a partition tries per tick.
 void GossipNode::Impl::probeSeeds() {
   std::uint64_t Draw = hashPair(Score_, ++ProbeCount_);
   if (Draw % (Members_.size() + 1) != 0)
@@ -197,7 +196,7 @@
     connect(Seed);
 }
 
-/// Whether enough links are accepted without a further one.
+/// Whether another inbound link would exceed the limit.
 bool GossipNode::Impl::inboundLinksFull() const {
   auto Accepted =
       std::count_if(Links_.begin(), Links_.end(), [](const auto &Item) {
@@ -206,8 +205,8 @@
   return static_cast<std::size_t>(Accepted) >= MaxInboundLinks;
 }
 
-/// Closes links opened to others than the wanted peers, to seeds for example,
-/// once those are linked to: the number of links stays bounded everywhere.
+/// Closes outbound links to peers that weren't chosen, such as seeds, once all
+/// chosen peers are linked. Keeps the number of links bounded.
 void GossipNode::Impl::closeSurplusLinks(const std::vector<Member> &Chosen) {
   auto IsChosen = [&](const std::string &Name) {
     return std::any_of(Chosen.begin(), Chosen.end(),
--- a/src/news-message.cc
+++ b/src/news-message.cc
@@ -260,7 +260,7 @@
     M = messageFrom(Json::from_cbor(Bytes), Now);
     return ErrorKind::None;
   } catch (const std::exception &) {
-    return ErrorKind::Malformed; // the library's, or thrown above
+    return ErrorKind::Malformed; // thrown by the library or above
   }
 }
 
--- a/src/news-parts.cc
+++ b/src/news-parts.cc
@@ -8,8 +8,9 @@
 
 namespace {
 
-/// As many of \p Wanted as have about \p Upstreams of \p Listed, from a part on
-/// that differs between balancers: else all ask for the same ones first.
+/// Returns parts of \p Wanted that hold about \p Upstreams of \p Listed
+/// entries. \p From differs between balancers, so that they request different
+/// parts first.
 ListParts selectParts(const ListParts &Wanted, std::uint64_t From,
                       std::size_t Upstreams, std::size_t Listed) {
   std::size_t Most =
@@ -26,8 +27,8 @@
 
 } // namespace
 
-/// Asks a peer for parts that it has and that nobody else was asked for: none
-/// comes twice, and no balancer sends the whole list to all.
+/// Requests parts that the peer has and that aren't requested from another
+/// peer: no part is received twice, and no balancer sends the full list to all.
 void GossipNode::Impl::requestParts(MonoTime Now, LinkId Link) {
   GossipLink &L = Links_[Link];
   if (L.RequestedParts_.any() && Now < L.PartsRequestDeadline_)
@@ -59,15 +60,15 @@
     requestParts(Now, Link);
 }
 
-/// Whether any of these parts is still missing. Another copy of one that is
-/// here may name upstreams that have ended since, and its digest may be on its
-/// way to a peer that will find nothing absent.
+/// Whether any of the parts is missing here. A second copy of a part is
+/// ignored: it may name upstreams that have ended since, which the response to
+/// a digest already sent would not remove.
 bool GossipNode::Impl::hasMissingParts(const ListParts &Parts) const {
   return List_.through() == 0 && (Parts & ~Parts_).any();
 }
 
-/// Peers are told of parts when there are twice as many as they know of, so
-/// that a start sends few heartbeats, and of the last one at once.
+/// Announces parts to peers when their number has doubled, to limit the
+/// heartbeats of a start, and when the list is complete.
 void GossipNode::Impl::addParts(MonoTime Now, const ListParts &Parts) {
   Parts_ |= Parts;
   if (List_.through() == 0 &&
@@ -75,7 +76,7 @@
     sendHeartbeats(Now);
 }
 
-/// With all parts here a peer that knows a revision tells the differences.
+/// With all parts, a peer that knows a revision can send just the differences.
 std::optional<PartDigests> GossipNode::Impl::requestDigests() const {
   if (List_.through() != 0 || !Parts_.all())
     return std::nullopt;
--- a/src/news.cc
+++ b/src/news.cc
@@ -10,8 +10,9 @@
 
 namespace {
 
-/// Peers that a start asks which upstreams have ended lately: all that ran
-/// before know the same, and one or two of three may have just started too.
+/// Peers that a starting balancer asks for recently ended upstreams. All
+/// running balancers know the same ones, but one or two of three may have just
+/// started too.
 constexpr std::size_t MaxEndedRequests = 3;
 
 } // namespace
@@ -28,7 +29,7 @@
 void GossipNode::Impl::handle(MonoTime Now, LinkId Link,
                               const PeerHeartbeat &M) {
   if (M.Sender_.Name_ == Options_.Self_.Name_)
-    return Hooks_.Close_(Link); // a seed that is this process itself
+    return Hooks_.Close_(Link); // a seed address of this process
   GossipLink &L = Links_[Link];
   L.Peer_ = M.Sender_.Name_;
   L.LastReceivedSequence_ = M.Sequence_;
@@ -45,7 +46,7 @@
   requestIfBehind(Now, Link, M);
   closeDuplicate(Link, M.Sender_.Name_);
   if (L.Redirected_)
-    Hooks_.Close_(Link); // it has been told of members by now
+    Hooks_.Close_(Link); // its members were learned above
 }
 
 void GossipNode::Impl::notifyIfJoined(MonoTime Now, const PeerHeartbeat &M) {
@@ -60,7 +61,7 @@
     return;
   Version OwnVersion = Routing_ ? Routing_->Version_ : 0;
   if (OwnVersion < M.Routing_ || List_.through() < M.Through_)
-    return; // it speaks of more than what is known here
+    return; // the peer has newer state than this balancer
   if (Now - L.sentAt(M.EchoedSequence_) > MaxEchoAge) {
     ++Counters_.StaleConfirmations_;
     return;
@@ -70,8 +71,9 @@
     noteReader(M.ReaderScore_, Now - std::chrono::milliseconds(M.ReaderAgeMs_),
                Now);
   confirm(Now, AsOf);
-  // Told at once: word of a better reader that waits at each hop for the next
-  // confirmation is out of date after three, and two go on reading.
+  // Sent at once: a lower reader score that waited for the next confirmation at
+  // each hop would expire after three hops, and two balancers would go on
+  // reading.
   if (FirstReader_.Score_ < AnnouncedReader_)
     sendHeartbeats(Now);
 }
@@ -91,8 +93,8 @@
     FirstAliveSince_ = Now;
 }
 
-/// Word of the first that lives counts if it was provably said a moment ago: a
-/// balancer that is cut off, alone or with others, must not wait for it.
+/// A reported sign of life counts only if the echo proves the message recent:
+/// balancers on the other side of a network partition must not wait for it.
 void GossipNode::Impl::acceptFirstAlive(MonoTime Now, const GossipLink &L,
                                         const PeerHeartbeat &M) {
   bool Recent = Now - L.sentAt(M.EchoedSequence_) <= MaxEchoAge;
@@ -102,8 +104,8 @@
   if (M.FirstAliveAgeMs_ != PeerHeartbeat::UnknownAgeMs)
     noteAlive(Now, M.FirstAliveScore_,
               Now - std::chrono::milliseconds(M.FirstAliveAgeMs_));
-  // Passed on at once: waiting at each hop for the next heartbeat, it would be
-  // too old after three.
+  // Forwarded at once: if it waited for the next heartbeat at each hop, it
+  // would expire after three hops.
   bool Fresher = FirstAlive_.At_ - AnnouncedAliveAt_ > AliveUpdateStep;
   if (Fresher && !Members_.tracksAllMembers())
     sendHeartbeats(Now);
@@ -170,10 +172,10 @@
     return handleParts(Now, Link, M);
   NextRequestAt_ = Now;
   if (!apply(Now, M.Routing_, M.Upstreams_, M.Evacuations_)) {
-    ++Counters_.RevisionGaps_; // the next heartbeat shows that we are behind
+    ++Counters_.RevisionGaps_; // the next heartbeat triggers another request
     return;
   }
-  // The answer was made after the question was sent.
+  // The response was made after the request was sent.
   bool Recent = Now - Links_[Link].RequestedAt_ <= MaxEchoAge;
   if (Recent && M.StateAgeMs_ != PeerHeartbeat::UnknownAgeMs)
     confirm(Now, Now - std::chrono::milliseconds(M.StateAgeMs_));
@@ -186,8 +188,8 @@
     Hooks_.OnWarning_(M);
 }
 
-/// Sends a warning on every link but the one it came from; false when it went
-/// through here a moment ago.
+/// Sends a warning on all links except its source. Returns false if it was sent
+/// recently or its kind has reached its limit.
 bool GossipNode::Impl::forwardWarning(MonoTime Now, const UpstreamWarning &M,
                                       const LinkId *From) {
   auto Known = RecentWarnings_.find(M);
@@ -221,9 +223,9 @@
   bool First = List_.through() == 0;
   if (!List_.apply(Upstreams, Changes))
     return false;
-  // Before the upstreams are told: openings that wait for these must not go to
-  // a hall that is evacuated by the same answer. Not where changes are missing:
-  // upstreams of a hall that is taken back may have turned cold.
+  // Evacuations come before upstreams, so that waiting openings don't go to a
+  // hall that the same update evacuates. They aren't applied if changes are
+  // missing: upstreams of a hall whose evacuation ended may be cold again.
   applyEvacuations(Evacuations);
   bool Outage = !First && Now - ConfirmedAsOf_ > OutageAge;
   if (First || !Changes.empty())
@@ -253,8 +255,8 @@
   Revision Before = List_.through();
   if (!apply(Now, Response.Routing_, Response.Batch_, Response.Evacuations_))
     return false;
-  // Else those that start together all go on reading until they hear of a
-  // better reader.
+  // Otherwise balancers that start together all keep reading until they hear of
+  // a reader with a lower score.
   if (!HasRead_)
     ReadPauseUntil_ = Now + FirstReadPause;
   HasRead_ = true;
@@ -276,8 +278,8 @@
   return View;
 }
 
-/// A list takes so long that knowledge grows old meanwhile: without word of it
-/// all those next in the order would list, too.
+/// Announces this reader before a list read: it takes so long that the state
+/// ages meanwhile, and the next ranks would read the list too.
 void GossipNode::Impl::listReadStarted(MonoTime Now) {
   if (ConfirmedAsOf_ == MonoTime{})
     return;
@@ -289,7 +291,7 @@
   bool AlwaysReads = !detail::has(detail::Mechanism::OneReader);
   if (AlwaysReads || IsReader_)
     return ReadPauseUntil_;
-  if (ConfirmedAsOf_ == MonoTime{}) { // peers are about to tell
+  if (ConfirmedAsOf_ == MonoTime{}) { // peers may still send the state
     auto Rank = static_cast<Micros::rep>(Members_.rankOf(Score_));
     return std::max(ReadPauseUntil_, RunningSince_ + StartupReadStep * Rank);
   }
@@ -299,10 +301,10 @@
   return std::max(ReadPauseUntil_, takeoverTime(ToldAt));
 }
 
-/// When a balancer should read that was told something new at \p ToldAt last.
-/// Its place in the order counts while one before it lives, so that those had
-/// their turn. In a part of the fleet that is cut off from them its own members
-/// read: within a rule's bound, whatever their places in the whole fleet.
+/// Returns when to read if the state or the reader was last confirmed at \p
+/// ToldAt. The rank counts while a balancer with a lower score is alive. In a
+/// network partition without one, members read within a bound that doesn't
+/// depend on their ranks.
 MonoTime GossipNode::Impl::takeoverTime(MonoTime ToldAt) const {
   std::size_t Rank = Members_.rankOf(Score_);
   if (Rank == 0)
@@ -319,7 +321,7 @@
   return From + TakeoverStep * static_cast<Micros::rep>(Steps);
 }
 
-/// Keeps those apart that hear in the same moment of none before them.
+/// Spreads the reads of members that lose the lower scores at the same time.
 Micros GossipNode::Impl::partitionJitter() const {
   auto Share = std::ldexp(static_cast<double>(Score_), -64);
   return Micros(static_cast<Micros::rep>(
--- a/src/peer-choice.cc
+++ b/src/peer-choice.cc
@@ -6,7 +6,7 @@
 
 namespace {
 
-/// Keeps the order of reading apart from other uses of a name's hash.
+/// Makes reader scores independent of other hashes of the same name.
 constexpr std::uint64_t ReaderScoreSalt = 0x72656164;
 
 } // namespace
--- a/test/evacuation-test.cc
+++ b/test/evacuation-test.cc
@@ -1,6 +1,6 @@
 /// \file
-/// Which data halls are evacuated, whatever order and age the news of it has;
-/// and how a fleet learns of it beside other trouble, on virtual time.
+/// Evacuations are applied correctly in any order and at any age of updates,
+/// and reach a whole fleet on virtual time despite faults.
 #include "news-fleet.h"
 
 #include <doctest/doctest.h>
@@ -14,7 +14,6 @@
 
 using Halls = std::set<std::string>;
 
-/// What a list holds.
 Halls hallsOf(const EvacuationList &List) {
   Halls Result;
   for (const EvacuationChange &Change : List.all().Changes_)
@@ -47,7 +46,7 @@
   CHECK(List.isEvacuated("a"));
   CHECK_FALSE(List.isEvacuated("b"));
   CHECK(apply(List, changes(5, {{"a", 5, true}})).empty());
-  CHECK(apply(List, changes(6, {{"a", 6, true}})).empty()); // asked for again
+  CHECK(apply(List, changes(6, {{"a", 6, true}})).empty()); // repeated
   CHECK(apply(List, changes(7, {{"a", 7, false}})).size() == 1);
   CHECK_FALSE(List.isEvacuated("a"));
 }
@@ -75,7 +74,7 @@
   CHECK(apply(List, whole(9, {{"a", 4, true}})).empty() == false);
   CHECK(hallsOf(List) == Halls{"a"});
   apply(List, changes(12, {{"c", 12, true}}));
-  apply(List, whole(11, {})); // as of before the last one
+  apply(List, whole(11, {})); // before the last one
   CHECK(hallsOf(List) == Halls{"c"});
 }
 
@@ -83,7 +82,7 @@
           "it") {
   EvacuationList List;
   apply(List, changes(0, {{"a", 4, true}}));
-  CHECK(List.isEvacuated("a")); // as far as is known
+  CHECK(List.isEvacuated("a")); // as far as known
   apply(List, whole(20, {{"b", 15, true}}));
   CHECK(hallsOf(List) == Halls{"b"});
   apply(List, changes(0, {{"a", 4, true}}));
@@ -94,7 +93,7 @@
           "decides") {
   rc::check([] {
     const std::vector<std::string> Names = {"a", "b", "c"};
-    std::vector<Halls> Truth(1); // by revision
+    std::vector<Halls> Truth(1); // indexed by revision
     std::vector<EvacuationChange> Log;
     int Changes = *rc::gen::inRange(1, 25);
     for (int I = 0; I < Changes; ++I) {
@@ -113,7 +112,7 @@
     for (int Step = 0; Step < 20; ++Step) {
       auto Through = *rc::gen::inRange<Revision>(0, Log.size() + 1);
       EvacuationBatch Batch{*rc::gen::arbitrary<bool>(), Through, {}};
-      // A watch goes on from what is known; a list stands for itself.
+      // A watch continues from the known revision; a list is self-contained.
       if (!Batch.Whole_ && Through >= Known)
         Batch.Changes_ = {Log.begin() + static_cast<std::ptrdiff_t>(Known),
                           Log.begin() + static_cast<std::ptrdiff_t>(Through)};
@@ -160,7 +159,7 @@
     Fleet.kill(5);
     Fleet.run(31500ms);
     Fleet.restart(5);
-    Fleet.run(31520ms); // links open in 2 ms, each message takes 1 ms
+    Fleet.run(31520ms); // links open in 2 ms, messages take 1 ms
     CHECK(Fleet.evacuated(5) == Halls{"hall-1"});
     Fleet.publishEvacuation("hall-1", false);
     Fleet.run(33s);
--- a/test/fleet-start-test.cc
+++ b/test/fleet-start-test.cc
@@ -1,5 +1,5 @@
-// What a fleet that starts at once asks of the configuration service and of its
-// members: nothing of it grows with balancers times upstreams.
+// Load on the configuration service and on members when a fleet starts at once:
+// it must not grow with the product of balancers and upstreams.
 #include "news-fleet.h"
 #include "peer-choice.h"
 #include "thymewall/list-parts.h"
@@ -14,9 +14,9 @@
 
 namespace {
 
-constexpr std::size_t UpstreamsPerBalancer = 30; ///< For each balancer.
+constexpr std::size_t UpstreamsPerBalancer = 30;
 
-/// A fleet that has lost everything it knew, and starts at 3 s.
+/// A fleet that starts at 3 s without any state.
 class StartingFleet {
 public:
   explicit StartingFleet(std::size_t Balancers,
@@ -39,7 +39,7 @@
       Fleet_.restart(Which);
   }
   std::size_t served() const { return Fleet_.upstreamsServed() - Before_; }
-  /// How many balancers know at least this share of all upstreams.
+  /// Number of balancers that know at least this share of all upstreams.
   std::size_t knowing(double Share) const {
     auto All = static_cast<double>(Upstreams_);
     std::size_t Count = 0;
@@ -55,7 +55,7 @@
   std::size_t Before_ = 0;
 };
 
-/// The last members in the order of readers.
+/// Returns the members with the highest reader scores.
 std::vector<std::size_t> lastReaders(std::size_t Balancers, std::size_t Count) {
   auto Score = [](std::size_t Which) {
     return detail::readerScore("lb-" + std::to_string(Which));
@@ -77,14 +77,14 @@
     StartingFleet S(Balancers);
     S.start();
     S.fleet().run(3s + 250ms);
-    // Parts until there are 64: the last one may go beyond by its own size.
+    // Reading stops at 64 upstreams, at most one part later.
     std::size_t List = Balancers * UpstreamsPerBalancer;
     std::size_t Read =
         PartReadPlan::MinUpstreamsAtStart + 2 * List / ListPartCount;
     CHECK(S.served() <= Balancers * Read);
-    CHECK(S.knowing(0.01) == Balancers); // all have some to open flows by
+    CHECK(S.knowing(0.01) == Balancers); // all can open flows
     S.fleet().run(4s);
-    CHECK(S.served() <= Balancers * Read + 3 * List); // the seeds' whole lists
+    CHECK(S.served() <= Balancers * Read + 3 * List); // full lists of the seeds
     CHECK(S.knowing(1.0) == Balancers);
     Revision R = S.fleet().publish();
     S.fleet().run(6s);
@@ -92,7 +92,7 @@
     std::size_t Told = 0;
     for (std::size_t Which = 0; Which < Balancers; ++Which)
       Told += S.fleet().upstreamsReceived(Which);
-    // A tenth more for what changes meanwhile.
+    // A tenth more for changes meanwhile.
     CHECK(Told <= Balancers * List * 11 / 10);
   }
 }
@@ -141,7 +141,7 @@
     S.fleet().run(8s);
     std::size_t Calls = S.fleet().calls();
     S.fleet().run(18s);
-    // Its two calls a second, and a few of others.
+    // The reader makes two calls a second, others a few.
     CHECK(S.fleet().calls() - Calls <= 30);
   }
 }
@@ -155,7 +155,7 @@
     std::size_t Before = S.fleet().bytesSent();
     S.fleet().run(20s);
     std::size_t Each = (S.fleet().bytesSent() - Before) / (10 * Balancers);
-    CHECK(Each <= 4500); // as many come in: 9 KB a second for control
+    CHECK(Each <= 4500); // as much is received: 9 KB a second for control
   }
 }
 
@@ -163,7 +163,7 @@
   StartingFleet S(400, 1);
   S.start();
   S.fleet().run(10s);
-  // Changes that no watch tells, and then nobody can.
+  // Publishes a change that no watch returns before the history is lost.
   for (std::size_t Which = 0; Which < 400; ++Which)
     S.fleet().setUnresponsive(Which, true);
   S.fleet().run(11s);
@@ -173,8 +173,8 @@
     S.fleet().setUnresponsive(Which, false);
   std::size_t Calls = S.fleet().calls();
   S.fleet().run(15s);
-  // Those whose turn came in the silent second, a watch and a list each, and
-  // the reader's two a second.
+  // A watch and a list for each member whose read was due in the outage, and
+  // two calls a second of the reader.
   CHECK(S.fleet().calls() - Calls <= 2 * 20 + 8);
   Revision R = S.fleet().publish();
   S.fleet().run(17s);
@@ -182,8 +182,8 @@
 }
 
 TEST_CASE("a part that is cut off from the others reads for itself in time") {
-  // Three find no link to each other soon; of the last forty in the order of
-  // readers the first has place 360.
+  // Three members have no links to each other at first; the lowest of the last
+  // forty ranks is 360.
   for (std::size_t Part : {std::size_t{3}, std::size_t{40}}) {
     CAPTURE(Part);
     constexpr std::size_t Balancers = 400;
@@ -197,22 +197,21 @@
           S.fleet().setBlocked(Which, Other, true);
     S.fleet().run(11s);
     Revision R = S.fleet().publish();
-    S.fleet().run(16s); // 5 s, less than what a routing table may take here
+    S.fleet().run(16s); // 5 s, less than the limit for a routing table
     for (std::size_t Which : CutOff)
       CHECK(S.fleet().gossip(Which).through() >= R);
   }
 }
 
 TEST_CASE("while nobody reads, balancers try in turn, not all at once") {
-  // Nobody is served, and answers come late: the order of readers is long.
   StartingFleet S(200, 1);
   S.start();
   S.fleet().run(8s);
   S.fleet().setServiceDown(true);
   std::size_t Calls = S.fleet().calls();
   S.fleet().run(11s);
-  // Knowledge is too old 1.5 s after the last answer; one a step since, with
-  // the calls that each repeats after its failure.
+  // Takeover starts 1.5 s after the last confirmation, with one more member per
+  // step, each with its retries.
   CHECK(S.fleet().calls() - Calls <= 60);
 }
 
--- a/test/intent-reader-test.cc
+++ b/test/intent-reader-test.cc
@@ -19,21 +19,21 @@
   return Result;
 }
 
-/// An answer that brings one change.
+/// A response with one change.
 ConfigResponse withChange(Revision Through) {
   ConfigResponse Result = response(Outcome::Done, Through);
   Result.Batch_.Changes_.push_back({Incarnation{1}, Through, std::nullopt});
   return Result;
 }
 
-/// A stale list of so many upstreams.
+/// A stale list of \p Upstreams entries.
 ConfigResponse staleList(std::size_t Upstreams) {
   ConfigResponse Result = response(Outcome::Stale);
   Result.Batch_.Changes_.resize(Upstreams);
   return Result;
 }
 
-/// A reader that has read the whole list at time 0, through revision 5.
+/// A reader that has read the full list at time 0, through revision 5.
 ConfigReader started() {
   ConfigReader Reader(0);
   REQUIRE(Reader.next(at(-200ms), {}));
@@ -69,7 +69,7 @@
   ConfigReader Reader = started();
   REQUIRE(Reader.next(at(10ms), {}));
   Reader.answered(at(14ms), response(Outcome::HistoryGone), 1);
-  Reader.noteRevision(5); // as the process says before each call
+  Reader.noteRevision(5); // called before each call of `next`
   auto Again = Reader.next(at(14ms), {});
   REQUIRE(Again);
   CHECK(Again->Kind_ == Kind::List);
@@ -197,7 +197,7 @@
       Asked.push_back(Next->Kind_);
       Reader.answered(Now + 4ms, response(What), 1);
     }
-    // Not at once: a short outage must not make a whole fleet ask for lists.
+    // A short outage must not make a whole fleet read full lists.
     std::vector<Kind> Expected(8, Kind::StaleList);
     Expected.push_back(Kind::List);
     CHECK(Asked == Expected);
--- a/test/member-list-test.cc
+++ b/test/member-list-test.cc
@@ -31,10 +31,10 @@
 TEST_CASE("a member is forgotten when nobody has heard of it for long") {
   MemberList List("a");
   List.learn(at(0ms), member("b"));
-  List.learn(at(1s), member("b", 5000)); // older than what is known
+  List.learn(at(1s), member("b", 5000)); // older than the known sign of life
   List.expireSilent(at(20s));
   CHECK(List.size() == 1);
-  List.learn(at(20s), member("c", 21'000)); // silent for too long already
+  List.learn(at(20s), member("c", 21'000)); // already expired
   CHECK(List.size() == 1);
   List.expireSilent(at(20001ms));
   CHECK(List.size() == 0);
@@ -70,8 +70,8 @@
 
 namespace {
 
-/// How the first \p Count members of a fleet are placed by one that has heard
-/// of the first ones and of each \p Stride-th of the others.
+/// A list with the lowest reader scores of \p Count members and with each \p
+/// Stride-th of the others.
 struct Sample {
   Sample(std::size_t Count, std::size_t Stride) : List_("lb-self") {
     std::vector<std::uint64_t> Scores;
@@ -99,8 +99,7 @@
     Sample S(Count, Count / 45);
     for (std::size_t Place = 0; Place < MemberList::FirstReaderCount; ++Place)
       CHECK(S.List_.rankOf(S.Sorted_[Place]) == Place);
-    // Of 8 first ones the density is known to about a third, twice that at
-    // worst here.
+    // The density of 8 scores is accurate to about a third; allow twice that.
     std::size_t Last = S.List_.rankOf(S.Sorted_.back());
     CHECK(Last >= Count * 35 / 100);
     CHECK(Last <= Count * 3);
--- a/test/news-fleet.cc
+++ b/test/news-fleet.cc
@@ -12,7 +12,7 @@
 constexpr Micros ServiceDelay = 4ms;
 constexpr Micros TickInterval = 250ms;
 
-/// How often a waiting watch looks for news: the service's own quickness.
+/// Interval at which a simulated watch checks for changes.
 constexpr Micros WatchPollInterval = 5ms;
 
 } // namespace
@@ -78,7 +78,7 @@
 
 Revision GossipFleet::publishEvacuation(const std::string &DataHall,
                                         bool Evacuated) {
-  publish(Incarnation{0}, std::nullopt); // takes a revision
+  publish(Incarnation{0}, std::nullopt); // reserves a revision
   EvacuationLog_.push_back({DataHall, Log_.size(), Evacuated});
   return Log_.size();
 }
@@ -86,7 +86,7 @@
 Version GossipFleet::publishRouting() { return publishRouting(Table_); }
 
 Version GossipFleet::publishRouting(const RoutingTable &Table) {
-  publish(); // takes a revision, like every change
+  publish(); // reserves a revision
   RoutingAt_ = Log_.size();
   Version Next = Table_.Version_ + 1;
   Table_ = Table;
@@ -276,7 +276,7 @@
   Nodes_[Which].Links_.erase(Known);
   runOnNode(Which, [=] { Nodes_[Which].Gossip_->closed(Events_.now(), Link); });
   if (Silent)
-    return; // the other end does not hear of it
+    return; // the peer isn't notified
   Nodes_[Peer].Links_.erase(RemoteLink);
   runOnNode(Peer, [this, Peer = Peer, RemoteLink = RemoteLink] {
     Nodes_[Peer].Gossip_->closed(Events_.now(), RemoteLink);
@@ -308,7 +308,7 @@
     serve(Which, *Request, Events_.now());
     return;
   }
-  // A call that is due before the next tick.
+  // The next call is due before the next tick.
   MonoTime Due = N.Reader_->dueAt(N.Gossip_->nextReadAt());
   if (Due > Events_.now() && Due < Events_.now() + TickInterval)
     Events_.after(Due - Events_.now(), [=, StartCount = N.StartCount_] {
@@ -391,7 +391,7 @@
   return Response;
 }
 
-/// Of a long stale list only the parts that a start reads.
+/// Reduces a long stale list to the parts that a start reads.
 void GossipFleet::keepReadParts(const ConfigRequest &Request,
                                 ConfigResponse &Response) const {
   std::array<std::size_t, ListPartCount> Sizes{};
--- a/test/news-fleet.h
+++ b/test/news-fleet.h
@@ -1,6 +1,6 @@
 /// \file
-/// A fleet of news exchanges and readers on virtual time, with a configuration
-/// service and links that lose contact. For tests.
+/// Test fleet of gossip nodes and config readers on virtual time, with a
+/// simulated configuration service, link failures and outages.
 #ifndef THYMEWALL_TEST_NEWS_FLEET_H
 #define THYMEWALL_TEST_NEWS_FLEET_H
 
@@ -13,7 +13,7 @@
 
 namespace thymewall::test {
 
-/// What a test runs on each member beside its news; all of it optional.
+/// Optional callbacks for what a test runs on each member.
 struct MemberHooks {
   using Upstreams = std::vector<UpstreamChange>;
 
@@ -33,64 +33,63 @@
   explicit GossipFleet(std::size_t Count, std::size_t Halls = 3,
                        MemberHooks Hooks = {});
 
-  /// Runs to \p Until, in virtual time from the start.
+  /// Runs until the virtual time \p Until since the start.
   void run(Micros Until) { Events_.run(Until); }
-  /// Publishes a change: an upstream comes, or goes again. Gives its revision.
+  /// Publishes the start of an upstream, or the end of the last one, in turn.
+  /// Returns its revision.
   Revision publish();
-  /// Publishes an upstream as it is now; without an entry it has ended.
+  /// Publishes an upstream; without an entry it has ended.
   Revision publish(Incarnation Which,
                    const std::optional<UpstreamEntry> &Entry);
-  /// Publishes that a data hall is evacuated, or taken back.
+  /// Publishes the start or end of an evacuation.
   Revision publishEvacuation(const std::string &DataHall, bool Evacuated);
-  /// Publishes a routing table with the next version.
+  /// Publishes the routing table with the next version.
   Version publishRouting();
-  /// The same, with these addresses.
+  /// Publishes a routing table with the addresses of \p Table.
   Version publishRouting(const RoutingTable &Table);
 
-  // Troubles; each holds until it is set back.
+  // Faults; each lasts until it is reset.
   void setSuspended(std::size_t Which, bool Suspended);
   void setRefused(std::size_t Which, bool Refused);
-  /// Calls of the configuration service are never answered.
+  /// Calls of the configuration service get no response.
   void setUnresponsive(std::size_t Which, bool Unresponsive);
-  /// Packets between two members are held up; they arrive when it ends.
+  /// Messages between two members are delayed until the fault ends.
   void setBlocked(std::size_t A, std::size_t B, bool Blocked);
   void setServiceDown(bool Down) { ServiceDown_ = Down; }
-  /// Changes so far are no longer told by watches, and a list takes so long.
+  /// Makes watches from earlier revisions fail, and delays full lists.
   void compactHistory(Micros ListDelay) {
     HistoryFrom_ = Log_.size();
     ListDelay_ = ListDelay;
   }
-  /// Stale lists are so old from now on.
+  /// Sets the age of stale lists.
   void setStaleListAge(Micros Age) { StaleListAge_ = Age; }
   std::size_t staleCalls() const { return StaleCalls_; }
-  /// Upstreams in all answers of the configuration service.
+  /// Number of upstreams in all responses of the configuration service.
   std::size_t upstreamsServed() const { return UpstreamsServed_; }
-  /// Upstreams that peers have told a member since its start, and all links
-  /// that it has had at once.
+  /// Number of upstreams that a member has received from peers since its start.
   std::size_t upstreamsReceived(std::size_t Which) const {
     return Nodes_[Which].UpstreamsReceived_;
   }
-  /// Bytes of messages that all members have sent.
+  /// Total size of gossip messages sent.
   std::size_t bytesSent() const { return BytesSent_; }
   std::size_t maxLinks(std::size_t Which) const {
     return Nodes_[Which].MaxLinks_;
   }
-  /// Upstreams that a member has been told of, by whomever.
+  /// Number of upstreams that a member knows.
   std::size_t listed(std::size_t Which) const {
     return Nodes_[Which].Listed_.size();
   }
-  /// Every open link, and every call under way, says nothing any more; new ones
-  /// work.
+  /// Drops all traffic of open links and calls in flight; new ones work.
   void blackholeConnections();
   void kill(std::size_t Which);
   void restart(std::size_t Which);
 
   Micros now() const { return Events_.now().time_since_epoch(); }
   std::size_t size() const { return Nodes_.size(); }
-  /// Calls but those for stale lists.
+  /// Number of calls, without those for stale lists.
   std::size_t calls() const { return Calls_; }
   GossipNode &gossip(std::size_t Which) { return *Nodes_[Which].Gossip_; }
-  /// Warnings that a member had from peers.
+  /// Warnings that a member has received from peers.
   const std::vector<UpstreamWarning> &warnings(std::size_t Which) const {
     return Nodes_[Which].Warnings_;
   }
@@ -99,15 +98,16 @@
   const std::set<std::string> &evacuated(std::size_t Which) const {
     return Nodes_[Which].Evacuated_;
   }
-  /// Every living member, awake and not, has exactly these halls evacuated.
+  /// Whether every running member has exactly these halls evacuated.
   bool allEvacuated(const std::set<std::string> &Halls) const;
   bool mayReturn(std::size_t Which) const { return Nodes_[Which].MayReturn_; }
-  /// The member that made the last call.
+  /// Returns the member that made the last call.
   std::size_t lastReader() const { return LastReader_; }
-  /// How far claimed knowledge was ever younger than true: the largest time by
-  /// which a member said to know something that it did not.
+  /// Largest error of a confirmation: the time between the publication of a
+  /// change and a later time as of which a member confirmed its state without
+  /// it.
   Micros worstConfirmationError() const { return WorstConfirmationError_; }
-  /// Every living member, awake and not, knows this.
+  /// Whether every running member knows revision \p R.
   bool allKnow(Revision R) const;
 
 private:
@@ -116,15 +116,15 @@
     std::unique_ptr<ConfigReader> Reader_;
     std::map<LinkId, std::pair<std::size_t, LinkId>> Links_;
     std::set<LinkId> DeadLinks_;
-    MonoTime CallsLostBefore_{}; ///< Calls begun before it get no answer.
-    std::vector<std::function<void()>> Deferred_; ///< While it is asleep.
+    MonoTime CallsLostBefore_{}; ///< Earlier calls get no response.
+    std::vector<std::function<void()>> Deferred_; ///< While suspended.
     std::vector<UpstreamWarning> Warnings_;
     std::set<std::string> Evacuated_;
     std::set<Incarnation> Listed_;
     std::size_t UpstreamsReceived_ = 0;
     std::size_t MaxLinks_ = 0;
     Version Routing_ = 0;
-    std::uint64_t StartCount_ = 0; ///< Counts restarts.
+    std::uint64_t StartCount_ = 0; ///< Incremented at each start.
     bool Alive_ = true;
     bool Suspended_ = false;
     bool Refused_ = false;
@@ -133,7 +133,8 @@
   };
   Member member(std::size_t Which) const;
   void start(std::size_t Which);
-  /// Does it on behalf of a member: later if it sleeps, never if it restarts.
+  /// Runs \p Do on a member: deferred while it is suspended, dropped if it is
+  /// dead.
   void runOnNode(std::size_t Which, std::function<void()> Do);
   GossipHooks hooks(std::size_t Which);
   void connect(std::size_t From, const Endpoint &To);
@@ -158,8 +159,8 @@
       BlockedMessages_;
   std::vector<UpstreamChange> Log_; ///< Index I has revision I + 1.
   std::vector<MonoTime> PublishedAt_;
-  std::vector<EvacuationChange> EvacuationLog_; ///< In the order of revisions.
-  RoutingTable Table_;                          ///< As it is published.
+  std::vector<EvacuationChange> EvacuationLog_; ///< In order of revisions.
+  RoutingTable Table_;                          ///< As published.
   Revision RoutingAt_ = 0;
   std::size_t Halls_;
   MemberHooks MemberHooks_;
--- a/test/news-start-test.cc
+++ b/test/news-start-test.cc
@@ -1,5 +1,5 @@
-// What starts and outages cost the configuration service, and when a fleet
-// knows what is current.
+// Load of starts and outages on the configuration service, and the time until a
+// fleet has current state.
 #include "news-fleet.h"
 
 #include <doctest/doctest.h>
@@ -10,7 +10,7 @@
 
 namespace {
 
-/// Publishes so many upstreams, which stale lists have from the next second on.
+/// Publishes \p Count upstreams, which stale lists include one second later.
 void publishMany(GossipFleet &Fleet, std::uint64_t Count) {
   for (std::uint64_t I = 1; I <= Count; ++I) {
     UpstreamEntry E;
@@ -21,13 +21,13 @@
   Fleet.setStaleListAge(1s);
 }
 
-/// A fleet that has lost everything it knew, and starts at 5 s.
+/// Restarts all members at 5 s, without any state.
 void restartAll(GossipFleet &Fleet) {
   publishMany(Fleet, 600);
   for (std::size_t Which = 0; Which < Fleet.size(); ++Which)
     Fleet.kill(Which);
   Fleet.run(5s);
-  Fleet.publish(); // no stale list has it yet
+  Fleet.publish(); // not in stale lists yet
   for (std::size_t Which = 0; Which < Fleet.size(); ++Which)
     Fleet.restart(Which);
 }
@@ -53,7 +53,7 @@
     ++Started;
   }
   Fleet.run(14s);
-  // Two a second are the reader's; one or two of the new ones may read on.
+  // The reader makes two a second; one or two new members may read once more.
   CHECK(Fleet.calls() - Before <= 2 * 2 + 4);
   CHECK(Fleet.staleCalls() >= Started);
   Revision R = Fleet.publish();
@@ -69,7 +69,7 @@
   CHECK(Fleet.allKnow(606));
   CHECK(Fleet.calls() - Before <= 45);
   Fleet.run(7s);
-  // The reader's two a second, and some that think for a moment they read.
+  // The reader makes two a second; some members briefly act as readers too.
   CHECK(Fleet.calls() - Before <= 45 + 40);
 }
 
@@ -126,10 +126,10 @@
     SetOutage(true);
     Fleet.run(14s);
     CAPTURE(Silent);
-    // One each, since none knows that others fail too, and then turns.
+    // One each before the failures are known, then the rate of the fleet.
     CHECK(Fleet.calls() - Before <= 2 * Fleet.size());
     SetOutage(false);
-    Fleet.run(14s + 1500ms); // a silent call lasts for a second
+    Fleet.run(14s + 1500ms); // a call without a response takes a second
     Revision R = Fleet.publish();
     Fleet.run(17s);
     CHECK(Fleet.allKnow(R));
--- a/test/news-test.cc
+++ b/test/news-test.cc
@@ -9,7 +9,7 @@
 
 namespace {
 
-/// Time until everybody knows what is published now; at most \p Limit.
+/// Returns the time until all members know a new change, at most \p Limit.
 Micros propagationTime(GossipFleet &Fleet, Micros Limit) {
   Revision R = Fleet.publish();
   Micros Start = Fleet.now() - 100s;
@@ -50,7 +50,7 @@
     Fleet.run(5s);
     Strike(Fleet, Fleet.lastReader());
     Fleet.run(5s + 50ms);
-    // It was confirmed up to 0.5 s ago; others wait for 1.5 s and their rank.
+    // Confirmed up to 0.5 s before the fault; takeover after 1.5 s plus rank.
     CHECK(propagationTime(Fleet, 4s) <= 2300ms);
     Fleet.run(20s);
     CHECK(propagationTime(Fleet, 3s) <= 1s);
@@ -118,7 +118,7 @@
   Fleet.run(8s);
   std::size_t Before = Fleet.calls();
   Fleet.run(11s);
-  CHECK(Fleet.calls() - Before <= 60); // about 8 a second, by all together
+  CHECK(Fleet.calls() - Before <= 60); // the whole fleet makes about 8 a second
   Revision R = Fleet.publish();
   Fleet.setServiceDown(false);
   Fleet.run(13s);
@@ -161,7 +161,7 @@
       Time += std::chrono::milliseconds(*rc::gen::inRange(1, 1500));
       Fleet.run(Time);
     }
-    // Claims are taken only if made within `MaxEchoAge`, hop by hop.
+    // Each hop accepts only confirmations within `MaxEchoAge`.
     RC_ASSERT(Fleet.worstConfirmationError() <= GossipNode::MaxEchoAge);
     for (std::size_t I = 0; I < 6; ++I) {
       Fleet.setSuspended(I, false);
@@ -181,7 +181,7 @@
     Fleet.run(5s);
     UpstreamWarning Dead{Incarnation{7}, UpstreamWarning::Kind::Dead};
     Fleet.gossip(3).warn(Fleet.clock(), Dead);
-    Fleet.gossip(3).warn(Fleet.clock(), Dead); // told already
+    Fleet.gossip(3).warn(Fleet.clock(), Dead); // repeated
     Fleet.run(5s + 100ms);
     CHECK(Fleet.warnings(3).empty());
     for (std::size_t I = 0; I < Size; ++I)
@@ -189,7 +189,7 @@
         CHECK(Fleet.warnings(I) == std::vector<UpstreamWarning>{Dead});
     Fleet.run(7s);
     Fleet.gossip(5).warn(Fleet.clock(),
-                         Dead); // a second later it is news again
+                         Dead); // after the interval it is sent again
     Fleet.run(8s);
     CHECK(Fleet.warnings(3).size() == 1);
   }
@@ -314,7 +314,7 @@
   }
   Fleet.kill(0);
   Fleet.run(9s);
-  CHECK(Lost().empty()); // two of three live
+  CHECK(Lost().empty()); // two of three are alive
   Fleet.kill(3);
   Fleet.run(11s);
   CHECK(Lost() == Who{6});
@@ -335,7 +335,7 @@
   };
   GossipFleet Killed(9);
   Killed.run(6s);
-  for (std::size_t I = 0; I < 6; ++I) // one in each hall is left
+  for (std::size_t I = 0; I < 6; ++I) // leaves one in each hall
     Killed.kill(I);
   CHECK(Nobody(Killed, 12s));
   GossipFleet CutOff(9);
@@ -343,7 +343,7 @@
   for (std::size_t I = 1; I < 9; ++I)
     CutOff.setBlocked(0, I, true);
   CHECK(Nobody(CutOff, 12s));
-  // Too many for silence to mean anything, whatever becomes of them.
+  // Too large for silence to have a meaning.
   GossipFleet Large(30);
   Large.run(6s);
   for (std::size_t I = 0; I < 24; ++I)
@@ -352,17 +352,17 @@
 }
 
 TEST_CASE("connections that go silent for good hide news for 2.5 s at most") {
-  // Whichever moment of a watch or of a heartbeat it strikes, twice.
+  // At any phase of a watch or heartbeat, twice.
   for (Micros Offset = 0ms; Offset < 1000ms; Offset += 90ms) {
     for (std::size_t Size : {std::size_t{2}, std::size_t{9}}) {
       GossipFleet Fleet(Size);
       Fleet.run(6s + Offset);
       Fleet.blackholeConnections();
       CHECK(propagationTime(Fleet, 4s) <= 2500ms);
-      Fleet.run(13s + Offset); // peers have found each other again
+      Fleet.run(13s + Offset); // members have reconnected
       std::size_t Before = Fleet.calls();
       Fleet.run(16s + Offset);
-      CHECK(Fleet.calls() - Before <= 8); // one reads for all again
+      CHECK(Fleet.calls() - Before <= 8); // only one reads again
       Fleet.blackholeConnections();
       Fleet.publishRouting();
       CHECK(propagationTime(Fleet, 4s) <= 2500ms);
--- a/test/parts-exchange-test.cc
+++ b/test/parts-exchange-test.cc
@@ -1,4 +1,4 @@
-// What a start takes of parts of the list that come late.
+// Late copies of a list part must not replace the part during a start.
 #include "thymewall/news.h"
 
 #include <doctest/doctest.h>
@@ -25,7 +25,7 @@
   return {E.Incarnation_, Id, E};
 }
 
-/// A start that has read all parts but one, with links to three peers.
+/// A starting node with links to three peers that has all parts but one.
 class NearlyCompleteStart {
 public:
   static constexpr std::uint8_t Missing = 7;
@@ -40,7 +40,7 @@
     Gossip_.staleListRead(at(1ms), Stale);
   }
 
-  /// Of a peer that has this part, or knows everything through a revision.
+  /// Receives a heartbeat of a peer with these parts or this revision.
   void heartbeat(std::uint64_t Peer, ListParts Parts, Revision Through) {
     PeerHeartbeat M;
     M.Sender_ = member(Peer);
@@ -50,7 +50,7 @@
     Gossip_.received(at(10ms), LinkId{Peer}, M);
   }
 
-  /// An answer with the missing part, which names one upstream.
+  /// Receives the missing part with one upstream.
   void missingPart(std::uint64_t Peer, std::uint64_t Id) {
     StateUpdate M;
     M.Parts_.set(Missing);
@@ -58,7 +58,7 @@
     Gossip_.received(at(20ms), LinkId{Peer}, M);
   }
 
-  /// An answer that finds no difference, through a revision.
+  /// Receives an update without differences, through a revision.
   void noDifference(std::uint64_t Peer, Revision Through) {
     StateUpdate M;
     M.Upstreams_.Whole_ = true;
--- a/test/peer-choice-test.cc
+++ b/test/peer-choice-test.cc
@@ -19,7 +19,7 @@
   return Members;
 }
 
-/// Whether the links that all members open join all of them.
+/// Whether the outbound links of all members form a connected graph.
 bool isConnected(const std::vector<Member> &Members, std::size_t RemoteLimit) {
   std::vector<std::size_t> Part(Members.size());
   std::iota(Part.begin(), Part.end(), 0U);
--- a/test/reading-turn-test.cc
+++ b/test/reading-turn-test.cc
@@ -1,5 +1,5 @@
-// When a balancer of a large fleet takes its turn to read the configuration
-// service: after all those before it, or in a part that is cut off from them.
+// When a balancer of a large fleet takes over reading the configuration
+// service: after all lower ranks, or soon in a network partition without them.
 #include "peer-choice.h"
 #include "thymewall/news.h"
 
@@ -22,8 +22,7 @@
   return detail::readerScore(member(Which).Name_);
 }
 
-/// The last but one in the order of 200 balancers, linked to the last one, by
-/// which a test speaks.
+/// A node with the last rank but one in a fleet of 200, linked to the last one.
 class LowRankReader {
 public:
   LowRankReader() : Order_(order()) {
@@ -38,8 +37,8 @@
     Gossip_->readSucceeded(at(0s), List, at(0s));
   }
 
-  /// A heartbeat of the peer, which knows as much as is known up to \\p Known
-  /// and has heard of the first balancer as of \\p Living.
+  /// Receives a heartbeat of the peer: its state was confirmed at \p Known, and
+  /// the first balancer's last sign of life was at \p Living.
   void heartbeat(Micros Now, Micros Known, Micros Living) {
     PeerHeartbeat M;
     M.Sender_ = member(Order_.back());
@@ -98,7 +97,7 @@
   LowRankReader L;
   for (Micros Now = 250ms; Now <= 8s; Now += 250ms) {
     L.Gossip_->tick(at(Now));
-    // Nobody is served from 1 s on, and the first says once a second it lives.
+    // No call succeeds after 1 s; the first balancer is alive once a second.
     L.heartbeat(Now, std::min<Micros>(Now, 1s), Now - Now % 1s);
     CHECK(L.Gossip_->nextReadAt() > at(Now));
   }
@@ -111,7 +110,7 @@
     L.heartbeat(Now, std::min<Micros>(Now, 1s), std::min<Micros>(Now, 1s));
   }
   CHECK(L.Gossip_->nextReadAt() <=
-        at(1s) + 3300ms); // 2.5 s of silence, 0.8 s spread
+        at(1s) + 3300ms); // 2.5 s link timeout, 0.8 s jitter
   CHECK(L.Gossip_->nextReadAt() >= at(1s) + 1500ms);
 }
 
@@ -121,7 +120,7 @@
     L.Gossip_->tick(at(Now));
     L.heartbeat(Now, Now, Now);
   }
-  // Held up since, and now arriving: they echo nothing recent.
+  // Delayed messages, which echo no recent heartbeat.
   PeerHeartbeat Late;
   Late.Sender_ = member(0);
   Late.FirstAliveAgeMs_ = 0;
