--- a/src/news-message.cc
+++ b/src/news-message.cc
@@ -31,7 +31,7 @@
   if (Bytes.empty())
     return Parts;
   if (Bytes.size() != ListPartCount / 8)
-    throw std::invalid_argument("not a set of parts");
+    throw std::invalid_argument("part set has the wrong size");
   for (std::size_t Part = 0; Part < ListPartCount; ++Part)
     Parts.set(Part, (Bytes[Part / 8] >> (Part % 8) & 1U) != 0);
   return Parts;
@@ -157,11 +157,11 @@
     auto Service = static_cast<ServiceId>(Item.at(0).get<std::uint32_t>());
     auto Weight = Item.at(1).get<std::uint32_t>();
     if (Weight == 0)
-      throw std::invalid_argument("weight 0");
+      throw std::invalid_argument("service share has weight 0");
     Shares.push_back({Service, Weight});
   }
   if (Shares.empty())
-    throw std::invalid_argument("no share");
+    throw std::invalid_argument("address has no service share");
   return Shares;
 }
 
@@ -205,7 +205,7 @@
   M.Upstreams_.Ended_ = detail::decodeChanges(J.at(8), Now);
   for (UpstreamChange &Change : M.Upstreams_.Ended_) {
     if (!Change.Entry_)
-      throw std::invalid_argument("no last entry");
+      throw std::invalid_argument("ended upstream lacks its last entry");
     Change.Ended_ = true;
   }
   M.Evacuations_ = evacuationsFrom(J.at(9));
@@ -221,7 +221,7 @@
   M.BornMs_ = J.at(3).get<std::uint64_t>();
   auto Kind = J.at(4).get<std::uint8_t>();
   if (Kind > raw(UpstreamWarning::Kind::Failing))
-    throw std::invalid_argument("unknown kind of warning");
+    throw std::invalid_argument("unknown warning kind");
   M.Kind_ = static_cast<UpstreamWarning::Kind>(Kind);
   return M;
 }
@@ -239,7 +239,7 @@
   case Type::Warning:
     return warningFrom(J);
   }
-  throw std::invalid_argument("unknown type");
+  throw std::invalid_argument("unknown message type");
 }
 
 } // namespace
--- a/test/evacuation-test.cc
+++ b/test/evacuation-test.cc
@@ -40,7 +40,7 @@
 
 } // namespace
 
-TEST_CASE("a hall is evacuated and taken back, and each is told once") {
+TEST_CASE("each change of an evacuation is applied once") {
   EvacuationList List;
   CHECK(apply(List, changes(5, {{"a", 5, true}})).size() == 1);
   CHECK(List.isEvacuated("a"));
@@ -51,7 +51,7 @@
   CHECK_FALSE(List.isEvacuated("a"));
 }
 
-TEST_CASE("changes that come late or twice change nothing") {
+TEST_CASE("late and repeated changes have no effect") {
   EvacuationList List;
   apply(List, changes(7, {{"a", 7, false}, {"b", 6, true}}));
   CHECK(apply(List, changes(0, {{"a", 5, true}})).empty());
@@ -59,7 +59,7 @@
   CHECK(hallsOf(List) == Halls{"b"});
 }
 
-TEST_CASE("evacuated, taken back and evacuated again between two readings") {
+TEST_CASE("several changes of a hall in one batch are applied in order") {
   EvacuationList List;
   apply(List, whole(10, {{"a", 4, true}}));
   apply(List, changes(12, {{"a", 11, false}, {"a", 12, true}}));
@@ -68,7 +68,7 @@
   CHECK(hallsOf(List).empty());
 }
 
-TEST_CASE("a hall that a whole list lacks was taken back by then") {
+TEST_CASE("a hall missing from a snapshot is not evacuated") {
   EvacuationList List;
   apply(List, whole(10, {{"a", 4, true}, {"b", 8, true}}));
   CHECK(apply(List, whole(9, {{"a", 4, true}})).empty() == false);
@@ -78,8 +78,7 @@
   CHECK(hallsOf(List) == Halls{"c"});
 }
 
-TEST_CASE("a stale list shows nothing to be absent, and a current one corrects "
-          "it") {
+TEST_CASE("a stale list ends no evacuation, and a current one corrects it") {
   EvacuationList List;
   apply(List, changes(0, {{"a", 4, true}}));
   CHECK(List.isEvacuated("a")); // as far as known
@@ -89,8 +88,8 @@
   CHECK(hallsOf(List) == Halls{"b"});
 }
 
-TEST_CASE("whatever whole lists and changes come in whatever order, the latest "
-          "decides") {
+TEST_CASE("the latest revision decides, whatever the order of snapshots and "
+          "changes") {
   rc::check([] {
     const std::vector<std::string> Names = {"a", "b", "c"};
     std::vector<Halls> Truth(1); // indexed by revision
@@ -129,7 +128,7 @@
   });
 }
 
-TEST_CASE("on a calm day an evacuation is known everywhere within a second") {
+TEST_CASE("without faults an evacuation reaches all members within a second") {
   for (std::size_t Count : {8U, 90U}) {
     GossipFleet Fleet(Count);
     Fleet.run(30s);
@@ -148,8 +147,7 @@
   }
 }
 
-TEST_CASE("a start with a stale list hears of an evacuation from the first "
-          "peer") {
+TEST_CASE("a start with a stale list gets evacuations from its first peer") {
   for (std::size_t Count : {8U, 90U}) {
     GossipFleet Fleet(Count);
     Fleet.setStaleListAge(3s);
@@ -167,9 +165,7 @@
   }
 }
 
-TEST_CASE(
-    "beside restarts, cuts, sleep and a service that is away, evacuations "
-    "are known everywhere within 5 s of calm") {
+TEST_CASE("evacuations reach all members within 5 s after faults end") {
   rc::check([] {
     auto Count = *rc::gen::inRange<std::size_t>(3, 24);
     GossipFleet Fleet(Count);
--- a/test/fleet-start-test.cc
+++ b/test/fleet-start-test.cc
@@ -70,8 +70,8 @@
 
 } // namespace
 
-TEST_CASE("what a start reads does not grow with the list, and nobody is told "
-          "a part of it twice") {
+TEST_CASE("the reads of a start do not grow with the list, and no part is sent "
+          "twice") {
   for (std::size_t Balancers : {std::size_t{80}, std::size_t{160}}) {
     CAPTURE(Balancers);
     StartingFleet S(Balancers);
@@ -97,7 +97,7 @@
   }
 }
 
-TEST_CASE("links of every balancer stay few, also a seed's") {
+TEST_CASE("the links of every balancer stay bounded, also for seeds") {
   for (std::size_t Balancers : {std::size_t{100}, std::size_t{400}}) {
     CAPTURE(Balancers);
     StartingFleet S(Balancers, 1);
@@ -110,7 +110,8 @@
   }
 }
 
-TEST_CASE("a fleet whose third is turned away starts by its peers") {
+TEST_CASE(
+    "a fleet starts from its peers if the service refuses a third of it") {
   StartingFleet S(80);
   for (std::size_t Which = 0; Which < 80; Which += 3)
     S.fleet().setRefused(Which, true);
@@ -121,7 +122,7 @@
   CHECK(S.knowing(1.0) == 80);
 }
 
-TEST_CASE("an outage during the start makes nobody read the whole list") {
+TEST_CASE("an outage during the start makes no balancer read the full list") {
   StartingFleet S(80);
   S.fleet().setServiceDown(true);
   S.start();
@@ -146,7 +147,7 @@
   }
 }
 
-TEST_CASE("what a balancer tells in a second does not grow with the fleet") {
+TEST_CASE("the gossip traffic of a balancer does not grow with the fleet") {
   for (std::size_t Balancers : {std::size_t{80}, std::size_t{400}}) {
     CAPTURE(Balancers);
     StartingFleet S(Balancers, 1);
@@ -159,7 +160,7 @@
   }
 }
 
-TEST_CASE("the loss of the history costs a fleet few lists") {
+TEST_CASE("a loss of the history costs a fleet few list reads") {
   StartingFleet S(400, 1);
   S.start();
   S.fleet().run(10s);
@@ -181,7 +182,7 @@
   CHECK(S.fleet().allKnow(R));
 }
 
-TEST_CASE("a part that is cut off from the others reads for itself in time") {
+TEST_CASE("a network partition starts reading for itself in time") {
   // Three members have no links to each other at first; the lowest of the last
   // forty ranks is 360.
   for (std::size_t Part : {std::size_t{3}, std::size_t{40}}) {
@@ -203,7 +204,7 @@
   }
 }
 
-TEST_CASE("while nobody reads, balancers try in turn, not all at once") {
+TEST_CASE("without a reader balancers take over by rank, not all at once") {
   StartingFleet S(200, 1);
   S.start();
   S.fleet().run(8s);
@@ -215,7 +216,7 @@
   CHECK(S.fleet().calls() - Calls <= 60);
 }
 
-TEST_CASE("a part is read until there are enough upstreams") {
+TEST_CASE("parts are read until there are enough upstreams") {
   PartReadPlan Short(7);
   Short.addPart(PartReadPlan::MinUpstreamsPerPart - 1);
   CHECK(Short.listIsShort());
--- a/test/intent-reader-test.cc
+++ b/test/intent-reader-test.cc
@@ -45,7 +45,7 @@
 
 } // namespace
 
-TEST_CASE("a reader lists first and then watches from what it knows") {
+TEST_CASE("a reader lists first and then watches from the listed revision") {
   ConfigReader Reader(0);
   REQUIRE(Reader.next(at(-200ms), {}));
   Reader.answered(at(-100ms), response(Outcome::Stale), 1);
@@ -63,9 +63,8 @@
   CHECK(Second->WaitUntil_ == Due + ConfigReader::WatchTimeout);
 }
 
-TEST_CASE(
-    "history that is gone leads to one list, also if peers tell of what is "
-    "known already") {
+TEST_CASE("a lost history causes one list read, also if peers report a known "
+          "revision") {
   ConfigReader Reader = started();
   REQUIRE(Reader.next(at(10ms), {}));
   Reader.answered(at(14ms), response(Outcome::HistoryGone), 1);
@@ -79,7 +78,8 @@
   CHECK(Next->Kind_ == Kind::Watch);
 }
 
-TEST_CASE("news of peers after a loss of history is watched on from") {
+TEST_CASE(
+    "after a loss of history a watch continues from a peer's newer revision") {
   ConfigReader Reader = started();
   REQUIRE(Reader.next(at(10ms), {}));
   Reader.answered(at(14ms), response(Outcome::HistoryGone), 1);
@@ -90,14 +90,15 @@
   CHECK(Next->After_ == 9);
 }
 
-TEST_CASE("no call starts while others keep this process informed") {
+TEST_CASE("no call starts while peers keep this process up to date") {
   ConfigReader Reader = started();
   CHECK_FALSE(Reader.next(at(10ms), at(500ms)));
   CHECK(Reader.dueAt(at(500ms)) == at(500ms));
   CHECK(Reader.next(at(500ms), at(500ms)));
 }
 
-TEST_CASE("a watch is complete at its end only if it waited without news") {
+TEST_CASE(
+    "a watch is complete as of its end only if it waited without changes") {
   ConfigReader Reader = started();
   REQUIRE(Reader.next(at(10ms), {}));
   Reader.answered(at(516ms), response(Outcome::Done, 5), 1);
@@ -107,15 +108,15 @@
   CHECK(Reader.completeAt() == at(516ms));
 }
 
-TEST_CASE("a service that answers a watch at once without news is not asked "
-          "without a pause") {
+TEST_CASE(
+    "a service that answers watches at once is not polled without a pause") {
   ConfigReader Reader = started();
   REQUIRE(Reader.next(at(10ms), {}));
   Reader.answered(at(14ms), response(Outcome::Done, 5), 1);
   CHECK(Reader.dueAt({}) == at(14ms) + ConfigReader::PauseAfterChange);
 }
 
-TEST_CASE("pauses after failures grow with the fleet and end with an answer") {
+TEST_CASE("the backoff grows with the fleet and ends with a successful call") {
   for (std::size_t FleetSize : {std::size_t{1}, std::size_t{90}}) {
     ConfigReader Reader(0.5);
     MonoTime Now = at(0ms);
@@ -135,7 +136,7 @@
   }
 }
 
-TEST_CASE("a start takes a stale list, waits a moment for peers, then lists") {
+TEST_CASE("a start reads a stale list, waits for peers and then lists") {
   for (double Jitter : {0.0, 0.99}) {
     ConfigReader Reader(Jitter);
     auto First = Reader.next(at(0ms), {});
@@ -146,14 +147,14 @@
     CHECK(Due >= at(4ms) + ConfigReader::PeerUpdateWait);
     CHECK(Due <= at(4ms) + ConfigReader::PeerUpdateWait +
                      ConfigReader::PeerUpdateJitter);
-    SUBCASE("a peer tells what is current") {
+    SUBCASE("peers send the current state") {
       Reader.noteRevision(9);
       auto Next = Reader.next(Due, {});
       REQUIRE(Next);
       CHECK(Next->Kind_ == Kind::Watch);
       CHECK(Next->After_ == 9);
     }
-    SUBCASE("nobody does") {
+    SUBCASE("no peer responds") {
       auto List = Reader.next(Due, {});
       REQUIRE(List);
       CHECK(List->Kind_ == Kind::List);
@@ -166,7 +167,7 @@
   }
 }
 
-TEST_CASE("the fewer upstreams, the sooner a start lists what is current") {
+TEST_CASE("a start waits less for peers if few upstreams are listed") {
   for (std::size_t Upstreams : {1U, 18U, 150U, 600U, 67000U}) {
     ConfigReader Reader(0.5);
     REQUIRE(Reader.next(at(0ms), {}));
@@ -179,7 +180,7 @@
   }
 }
 
-TEST_CASE("an empty list does not make a start hurry") {
+TEST_CASE("an empty stale list does not shorten the wait for peers") {
   ConfigReader Reader(0.5);
   REQUIRE(Reader.next(at(0ms), {}));
   Reader.answered(at(4ms), staleList(0), 1);
@@ -187,7 +188,7 @@
         ConfigReader::PeerUpdateWait + ConfigReader::PeerUpdateJitter / 2);
 }
 
-TEST_CASE("a service that has no stale lists is asked for a list") {
+TEST_CASE("a service without stale lists is asked for a full list") {
   for (Outcome What : {Outcome::Refused, Outcome::Failed}) {
     ConfigReader Reader(0);
     std::vector<Kind> Asked;
@@ -204,7 +205,7 @@
   }
 }
 
-TEST_CASE("with parts of a long list a start leaves the rest to peers") {
+TEST_CASE("with parts of a long list a start waits for its peers") {
   ConfigResponse Parts = staleList(69);
   Parts.Parts_ = ListParts{}.set(3);
   for (double Jitter : {0.0, 0.5, 0.99}) {
@@ -215,13 +216,13 @@
     MonoTime First = at(4ms) + ConfigReader::PartsExchangeWait;
     CHECK(Reader.dueAt({}) >= First);
     CHECK(Reader.dueAt({}) <= First + ConfigReader::MaxFleetJitter);
-    SUBCASE("which end its waiting") {
+    SUBCASE("a peer ends the wait") {
       Reader.noteRevision(9);
       auto Next = Reader.next(Reader.dueAt({}), {});
       REQUIRE(Next);
       CHECK(Next->Kind_ == Kind::Watch);
     }
-    SUBCASE("if there are any") {
+    SUBCASE("no peers are found") {
       Reader.noPeersFound(at(1500ms));
       auto Next = Reader.next(at(1500ms), {});
       REQUIRE(Next);
@@ -234,7 +235,7 @@
   CHECK(Seed.dueAt({}) == at(4ms) + ConfigReader::SeedListDelay);
 }
 
-TEST_CASE("no peers do not hurry a call that failed") {
+TEST_CASE("a lack of peers does not shorten the backoff") {
   ConfigReader Reader(0);
   REQUIRE(Reader.next(at(0ms), {}));
   Reader.answered(at(4ms), response(Outcome::Failed), 1);
@@ -243,7 +244,7 @@
   CHECK(Reader.dueAt({}) == Due);
 }
 
-TEST_CASE("a large fleet that knows something takes turns after a failure") {
+TEST_CASE("a large fleet with known state spreads its calls after a failure") {
   auto PauseOf = [](double Jitter, std::size_t FleetSize) {
     ConfigReader Reader(Jitter);
     Reader.noteRevision(5);
--- a/test/member-list-test.cc
+++ b/test/member-list-test.cc
@@ -28,7 +28,7 @@
   CHECK(List.size() == 1);
 }
 
-TEST_CASE("a member is forgotten when nobody has heard of it for long") {
+TEST_CASE("a member without a sign of life expires") {
   MemberList List("a");
   List.learn(at(0ms), member("b"));
   List.learn(at(1s), member("b", 5000)); // older than the known sign of life
@@ -40,7 +40,7 @@
   CHECK(List.size() == 0);
 }
 
-TEST_CASE("a member that could not be reached is left alone for a while") {
+TEST_CASE("an unreachable member is avoided for a while") {
   MemberList List("a");
   List.learn(at(0ms), member("b"));
   List.learn(at(0ms), member("c"));
@@ -53,7 +53,8 @@
   CHECK(List.reachable(at(2s)).size() == 1);
 }
 
-TEST_CASE("heartbeats tell of all members in turn, with their ages") {
+TEST_CASE(
+    "heartbeats report all members in round-robin order, with their ages") {
   MemberList List("a");
   for (const char *Name : {"b", "c", "d", "e", "f"})
     List.learn(at(0ms), member(Name, 1000));
@@ -93,7 +94,7 @@
 
 } // namespace
 
-TEST_CASE("places in the order of readers hold where few members are known") {
+TEST_CASE("ranks are estimated correctly where few members are known") {
   for (std::size_t Count : {100U, 585U, 2000U, 12000U}) {
     CAPTURE(Count);
     Sample S(Count, Count / 45);
@@ -108,7 +109,7 @@
   }
 }
 
-TEST_CASE("where all members are heard of, places and sizes are exact") {
+TEST_CASE("ranks and sizes are exact where all members are tracked") {
   Sample S(18, 1);
   for (std::size_t Place = 0; Place < 18; ++Place)
     CHECK(S.List_.rankOf(S.Sorted_[Place]) == Place);
@@ -116,7 +117,8 @@
   CHECK(S.List_.nextFirstReader(MonoTime(std::chrono::seconds(100))).empty());
 }
 
-TEST_CASE("the first in the order are told in turn") {
+TEST_CASE(
+    "the members of the lowest reader scores are sent in round-robin order") {
   Sample S(585, 13);
   std::set<std::string> Told;
   for (std::size_t I = 0; I < MemberList::FirstReaderCount; ++I)
--- a/test/news-start-test.cc
+++ b/test/news-start-test.cc
@@ -34,8 +34,8 @@
 
 } // namespace
 
-TEST_CASE(
-    "a start in a running fleet takes a stale list, and peers tell the rest") {
+TEST_CASE("a start in a running fleet reads a stale list and gets the rest "
+          "from peers") {
   GossipFleet Fleet(90, 5);
   publishMany(Fleet, 600);
   Fleet.run(8s);
@@ -73,7 +73,8 @@
   CHECK(Fleet.calls() - Before <= 45 + 40);
 }
 
-TEST_CASE("peers hear that a balancer has started or slept, and others not") {
+TEST_CASE("peers are notified of a balancer's start or resumption, and of "
+          "nothing else") {
   std::map<std::size_t, MonoTime> ArrivedAt;
   MemberHooks Hooks;
   Hooks.OnPeerJoined_ = [&](std::size_t Which, MonoTime At) {
@@ -90,7 +91,7 @@
     CHECK(ArrivedAt.empty());
     Fleet.restart(5);
   }
-  SUBCASE("a sleep") {
+  SUBCASE("a resumption") {
     Fleet.setSuspended(5, true);
     Fleet.run(18s);
     CHECK(ArrivedAt.empty());
@@ -106,7 +107,7 @@
   }
 }
 
-TEST_CASE("without peers a start knows what is current within 1.1 s") {
+TEST_CASE("a start without peers has current state within 1.1 s") {
   GossipFleet Fleet(1);
   restartAll(Fleet);
   Fleet.run(5s + 1100ms);
--- a/test/news-test.cc
+++ b/test/news-test.cc
@@ -23,7 +23,8 @@
 
 } // namespace
 
-TEST_CASE("one member reads for all, and news is everywhere within a second") {
+TEST_CASE(
+    "one member reads for all, and changes reach all members within a second") {
   for (std::size_t Size : {std::size_t{1}, std::size_t{8}, std::size_t{90}}) {
     GossipFleet Fleet(Size);
     Fleet.run(5s);
@@ -38,7 +39,7 @@
   }
 }
 
-TEST_CASE("the reader's place is taken over, whatever happens to it") {
+TEST_CASE("another reader takes over after any fault of the reader") {
   using Trouble = void (*)(GossipFleet &, std::size_t);
   const Trouble Troubles[] = {
       [](GossipFleet &F, std::size_t I) { F.kill(I); },
@@ -57,7 +58,7 @@
   }
 }
 
-TEST_CASE("a reader that sleeps is replaced and catches up when it wakes") {
+TEST_CASE("a suspended reader is replaced and catches up when it resumes") {
   GossipFleet Fleet(8);
   Fleet.run(5s);
   std::size_t Sleeper = Fleet.lastReader();
@@ -72,8 +73,7 @@
   CHECK(Fleet.allKnow(R));
 }
 
-TEST_CASE(
-    "a third of a large fleet turned away hears everything from the rest") {
+TEST_CASE("a refused third of a large fleet gets all changes from the rest") {
   GossipFleet Fleet(90, 5);
   for (std::size_t I = 0; I < 90; I += 3)
     Fleet.setRefused(I, true);
@@ -88,7 +88,7 @@
   CHECK(Fleet.calls() - Before <= 110);
 }
 
-TEST_CASE("a newcomer whose calls fail takes everything from peers") {
+TEST_CASE("a new member whose calls fail gets the state from peers") {
   GossipFleet Fleet(8);
   Fleet.run(5s);
   Fleet.kill(5);
@@ -100,7 +100,7 @@
   CHECK(Fleet.routing(5) == 1);
 }
 
-TEST_CASE("a member cut off from all peers reads for itself") {
+TEST_CASE("a member that is partitioned from all peers reads for itself") {
   GossipFleet Fleet(8);
   Fleet.run(5s);
   std::size_t Alone = (Fleet.lastReader() + 1) % 8;
@@ -111,7 +111,7 @@
   CHECK(propagationTime(Fleet, 3s) <= 1s);
 }
 
-TEST_CASE("an outage is noticed by all, and its end within two seconds") {
+TEST_CASE("all members notice an outage, and its end within two seconds") {
   GossipFleet Fleet(8);
   Fleet.run(5s);
   Fleet.setServiceDown(true);
@@ -130,7 +130,7 @@
     CHECK_FALSE(Fleet.mayReturn(I));
 }
 
-TEST_CASE("what was held up does not make knowledge look recent") {
+TEST_CASE("delayed messages do not understate the age of the state") {
   rc::check([] {
     GossipFleet Fleet(6);
     Fleet.run(3s);
@@ -175,7 +175,7 @@
   });
 }
 
-TEST_CASE("a warning of an upstream reaches every member once") {
+TEST_CASE("a warning about an upstream reaches every member once") {
   for (std::size_t Size : {std::size_t{8}, std::size_t{90}}) {
     GossipFleet Fleet(Size);
     Fleet.run(5s);
@@ -195,7 +195,7 @@
   }
 }
 
-TEST_CASE("warnings in a moment are bounded") {
+TEST_CASE("the number of warnings per interval is bounded") {
   GossipFleet Fleet(8);
   Fleet.run(5s);
   for (std::uint64_t I = 1; I <= 2 * GossipNode::MaxWarningsPerInterval; ++I)
@@ -205,7 +205,8 @@
   CHECK(Fleet.warnings(1).size() == GossipNode::MaxWarningsPerInterval);
 }
 
-TEST_CASE("a warning survives its codec, and one of an unknown kind does not") {
+TEST_CASE(
+    "a warning survives encoding, and one of an unknown kind is rejected") {
   using Kind = UpstreamWarning::Kind;
   GossipMessage Out;
   std::string Bytes;
@@ -219,7 +220,7 @@
   CHECK(decodeGossip(Bytes, MonoTime{}, Out) == ErrorKind::Malformed);
 }
 
-TEST_CASE("evacuated halls and limits of cold upstreams survive their codec") {
+TEST_CASE("evacuated halls and limits of cold upstreams survive encoding") {
   auto Table = std::make_shared<RoutingTable>();
   Table->Version_ = 3;
   Table->ColdPerSecond_[7] = 2.5;
@@ -236,7 +237,7 @@
   CHECK(Heard.Evacuations_.Changes_ == Told.Evacuations_.Changes_);
 }
 
-TEST_CASE("messages between balancers survive their codec") {
+TEST_CASE("gossip messages survive encoding, and damaged ones are rejected") {
   MonoTime Now(20s);
   auto Table = std::make_shared<RoutingTable>();
   Table->Version_ = 7;
@@ -297,8 +298,7 @@
   });
 }
 
-TEST_CASE("the living of a data hall that is mostly dead know it, and no one "
-          "else thinks so") {
+TEST_CASE("only the live members of a mostly dead data hall consider it lost") {
   GossipFleet Fleet(9); // halls 0, 1, 2: members 0 3 6, 1 4 7, 2 5 8
   auto Lost = [&] {
     std::vector<std::size_t> Who;
@@ -323,7 +323,7 @@
   CHECK(Lost().empty());
 }
 
-TEST_CASE("without a data hall that is well nobody leaves callers to others") {
+TEST_CASE("no data hall is considered lost unless another one is healthy") {
   auto Nobody = [](GossipFleet &Fleet, Micros Until) {
     for (Micros Time = 6s; Time < Until; Time += 50ms) {
       Fleet.run(Time);
@@ -351,7 +351,7 @@
   CHECK(Nobody(Large, 12s));
 }
 
-TEST_CASE("connections that go silent for good hide news for 2.5 s at most") {
+TEST_CASE("connections that die silently delay changes by at most 2.5 s") {
   // At any phase of a watch or heartbeat, twice.
   for (Micros Offset = 0ms; Offset < 1000ms; Offset += 90ms) {
     for (std::size_t Size : {std::size_t{2}, std::size_t{9}}) {
@@ -370,7 +370,8 @@
   }
 }
 
-TEST_CASE("connections that go silent while the reader is taken over") {
+TEST_CASE("connections that die silently during a takeover delay changes only "
+          "briefly") {
   for (Micros Offset = 0ms; Offset < 2000ms; Offset += 190ms) {
     GossipFleet Fleet(9);
     Fleet.run(6s);
--- a/test/parts-exchange-test.cc
+++ b/test/parts-exchange-test.cc
@@ -95,7 +95,7 @@
 
 } // namespace
 
-TEST_CASE("a part that is here is not taken again, whatever it names") {
+TEST_CASE("a part that is already known is ignored") {
   NearlyCompleteStart S;
   S.heartbeat(1, ListParts{}.set(NearlyCompleteStart::Missing), 0);
   REQUIRE(S.Requests_.size() == 1);
@@ -104,10 +104,10 @@
   S.heartbeat(2, {}, 50);
   REQUIRE(S.Requests_.size() == 2);
   CHECK(S.Requests_[1].Digests_);
-  SUBCASE("from a peer that answers late, with one that has ended") {
+  SUBCASE("late response of a peer that names an ended upstream") {
     S.missingPart(3, 72);
   }
-  SUBCASE("from a stale list that comes late") {
+  SUBCASE("late stale list") {
     ConfigResponse Late;
     Late.Outcome_ = ConfigResponse::Outcome::Stale;
     Late.Batch_.Changes_ = {listed(72, NearlyCompleteStart::Missing)};
--- a/test/peer-choice-test.cc
+++ b/test/peer-choice-test.cc
@@ -47,7 +47,8 @@
 
 } // namespace
 
-TEST_CASE("a large fleet stays connected when a hall and a third are lost") {
+TEST_CASE("a large fleet stays connected after the loss of a hall and a third "
+          "of the rest") {
   rc::check([] {
     auto Halls = *rc::gen::inRange<std::size_t>(2, 7);
     auto Count = *rc::gen::inRange<std::size_t>(20 * Halls, 60 * Halls);
@@ -68,14 +69,14 @@
   });
 }
 
-TEST_CASE("a hall with few members links to others instead") {
+TEST_CASE("a hall with few members links to other halls instead") {
   std::vector<Member> Members = fleet(4, 4);
   Member Self = Members.back();
   Members.pop_back();
   CHECK(choosePeers(Members, Self, 3, 1).size() == 3);
 }
 
-TEST_CASE("links stay in the own hall but for the far ones") {
+TEST_CASE("links stay within the hall except for the remote ones") {
   std::vector<Member> Members = fleet(90, 3);
   Member Self = Members.back();
   Members.pop_back();
--- a/test/reading-turn-test.cc
+++ b/test/reading-turn-test.cc
@@ -93,7 +93,7 @@
 
 } // namespace
 
-TEST_CASE("while the first of the order lives, those after it take turns") {
+TEST_CASE("higher ranks wait while the balancer of rank 0 is alive") {
   LowRankReader L;
   for (Micros Now = 250ms; Now <= 8s; Now += 250ms) {
     L.Gossip_->tick(at(Now));
@@ -103,7 +103,7 @@
   }
 }
 
-TEST_CASE("in a part that is cut off from the first, its members read soon") {
+TEST_CASE("members of a network partition without rank 0 read soon") {
   LowRankReader L;
   for (Micros Now = 250ms; Now <= 6s; Now += 250ms) {
     L.Gossip_->tick(at(Now));
@@ -114,7 +114,7 @@
   CHECK(L.Gossip_->nextReadAt() >= at(1s) + 1500ms);
 }
 
-TEST_CASE("word of the first that may be old does not hold up a part") {
+TEST_CASE("delayed signs of life do not delay reads in a network partition") {
   LowRankReader L;
   for (Micros Now = 250ms; Now <= 1s; Now += 250ms) {
     L.Gossip_->tick(at(Now));
