--- a/include/thymewall/intent-reader.h
+++ b/include/thymewall/intent-reader.h
@@ -94,8 +94,8 @@
   /// bounds the wait of those that can't reach any peer.
   static constexpr Micros MaxFleetJitter = std::chrono::seconds(10);
 
-  /// \p Jitter in [0, 1) desynchronizes processes that start together. \p
-  /// IsSeed is true for a process that others connect to first.
+  /// \p Jitter in [0, 1) desynchronizes processes that start together.
+  /// \p IsSeed is true for a process that others connect to first.
   explicit ConfigReader(double Jitter, bool IsSeed = false)
       : JitterFraction_(Jitter), IsSeed_(IsSeed) {}
 
--- a/src/member-list.cc
+++ b/src/member-list.cc
@@ -12,17 +12,17 @@
   return static_cast<std::uint32_t>(std::max<std::int64_t>(Age.count(), 0));
 }
 
-void MemberList::learn(MonoTime Now, const Member &Told) {
-  if (Told.Name_ == Self_)
+void MemberList::learn(MonoTime Now, const Member &Reported) {
+  if (Reported.Name_ == Self_)
     return;
-  MonoTime AliveAt = Now - std::chrono::milliseconds(Told.AgeMs_);
+  MonoTime AliveAt = Now - std::chrono::milliseconds(Reported.AgeMs_);
   if (Now - AliveAt > MemberTimeout)
     return;
-  Record &Known = Members_[Told.Name_];
+  Record &Known = Members_[Reported.Name_];
   if (Known.AliveAt_ >= AliveAt)
     return;
-  Known.Member_ = Told;
-  Known.Score_ = readerScore(Told.Name_);
+  Known.Member_ = Reported;
+  Known.Score_ = readerScore(Reported.Name_);
   Known.AliveAt_ = AliveAt;
 }
 
@@ -119,9 +119,9 @@
     return {};
   std::vector<const Record *> First = firstReaders();
   const Record &Next = *First[NextFirstReader_++ % First.size()];
-  Member Told = Next.Member_;
-  Told.AgeMs_ = ageMs(Next.AliveAt_, Now);
-  return {Told};
+  Member Result = Next.Member_;
+  Result.AgeMs_ = ageMs(Next.AliveAt_, Now);
+  return {Result};
 }
 
 /// Scores are uniformly distributed, so the highest of the lowest scores gives
--- a/src/member-list.h
+++ b/src/member-list.h
@@ -32,7 +32,7 @@
   explicit MemberList(std::string Self) : Self_(std::move(Self)) {}
 
   /// Records what a peer reports about a member, unless newer is known.
-  void learn(MonoTime Now, const Member &Told);
+  void learn(MonoTime Now, const Member &Reported);
   void remove(const std::string &Name) { Members_.erase(Name); }
   void expireSilent(MonoTime Now);
   /// Excludes a member from `reachable` until \p Until.
--- a/src/news-impl.h
+++ b/src/news-impl.h
@@ -143,7 +143,7 @@
   void acceptFirstAlive(MonoTime Now, const detail::GossipLink &L,
                         const PeerHeartbeat &M);
   Micros partitionJitter() const;
-  MonoTime takeoverTime(MonoTime ToldAt) const;
+  MonoTime takeoverTime(MonoTime ConfirmedAt) const;
   void confirm(MonoTime Now, MonoTime AsOf);
   void requestIfBehind(MonoTime Now, LinkId Link, const PeerHeartbeat &M);
   void closeDuplicate(LinkId Link, const std::string &Peer);
@@ -161,9 +161,9 @@
   bool hasMissingParts(const ListParts &Parts) const;
   void addParts(MonoTime Now, const ListParts &Parts);
   std::optional<PartDigests> requestDigests() const;
-  PeerHeartbeat heartbeat(MonoTime Now, std::size_t Members);
+  PeerHeartbeat heartbeat(MonoTime Now, std::size_t MemberCount);
   void sendHeartbeat(MonoTime Now, LinkId Link, detail::GossipLink &L,
-                     std::size_t Members);
+                     std::size_t MemberCount);
   void sendHeartbeats(MonoTime Now);
   void maintainLinks(MonoTime Now);
   void connectSeeds();
--- a/src/news-links.cc
+++ b/src/news-links.cc
@@ -66,7 +66,8 @@
   Hooks_.Close_(Link);
 }
 
-PeerHeartbeat GossipNode::Impl::heartbeat(MonoTime Now, std::size_t Count) {
+PeerHeartbeat GossipNode::Impl::heartbeat(MonoTime Now,
+                                          std::size_t MemberCount) {
   PeerHeartbeat M;
   M.Sender_ = Options_.Self_;
   M.Leaving_ = Leaving_;
@@ -83,16 +84,16 @@
   M.UpstreamCount_ = static_cast<std::uint32_t>(List_.size());
   if (List_.through() == 0)
     M.Parts_ = Parts_;
-  M.Members_ = Members_.nextMembers(Now, Count);
-  if (Count > 0)
+  M.Members_ = Members_.nextMembers(Now, MemberCount);
+  if (MemberCount > 0)
     for (const Member &First : Members_.nextFirstReader(Now))
       M.Members_.push_back(First);
   return M;
 }
 
 void GossipNode::Impl::sendHeartbeat(MonoTime Now, LinkId Link, GossipLink &L,
-                                     std::size_t Members) {
-  PeerHeartbeat M = heartbeat(Now, Members);
+                                     std::size_t MemberCount) {
+  PeerHeartbeat M = heartbeat(Now, MemberCount);
   M.Sequence_ = ++L.Sequence_;
   M.EchoedSequence_ = L.LastReceivedSequence_;
   L.SentHeartbeats_.push_back({M.Sequence_, Now});
@@ -121,11 +122,11 @@
   if (Now - LastTick_ > SuspendThreshold)
     RunningSince_ = Now;
   LastTick_ = Now;
-  std::vector<LinkId> Silent;
+  std::vector<LinkId> Expired;
   for (const auto &[Link, L] : Links_)
     if (Now > L.ExpiresAt_)
-      Silent.push_back(Link);
-  for (LinkId Link : Silent) {
+      Expired.push_back(Link);
+  for (LinkId Link : Expired) {
     closed(Now, Link);
     Hooks_.Close_(Link);
   }
--- a/src/news.cc
+++ b/src/news.cc
@@ -38,8 +38,8 @@
     Members_.remove(M.Sender_.Name_);
   else
     Members_.learn(Now, M.Sender_);
-  for (const Member &Told : M.Members_)
-    Members_.learn(Now, Told);
+  for (const Member &Reported : M.Members_)
+    Members_.learn(Now, Reported);
   notifyIfJoined(Now, M);
   acceptFirstAlive(Now, L, M);
   acceptConfirmation(Now, L, M);
@@ -87,9 +87,9 @@
 
 void GossipNode::Impl::noteAlive(MonoTime Now, std::uint64_t Score,
                                  MonoTime At) {
-  bool OthersBefore = FirstAlive_.Score_ < Score_;
+  bool OthersFirst = FirstAlive_.Score_ < Score_;
   FirstAlive_.update(Score, At, Now, LinkTimeout);
-  if (OthersBefore && FirstAlive_.Score_ >= Score_)
+  if (OthersFirst && FirstAlive_.Score_ >= Score_)
     FirstAliveSince_ = Now;
 }
 
@@ -197,10 +197,10 @@
   auto SameKind = [&M](const auto &Item) {
     return Item.first.Kind_ == M.Kind_;
   };
-  auto Told =
+  auto SameKindCount =
       std::count_if(RecentWarnings_.begin(), RecentWarnings_.end(), SameKind);
   if (!detail::has(detail::Mechanism::Warnings) || Repeated ||
-      static_cast<std::size_t>(Told) >= MaxWarningsPerInterval)
+      static_cast<std::size_t>(SameKindCount) >= MaxWarningsPerInterval)
     return false;
   RecentWarnings_[M] = Now + WarningInterval;
   for (const auto &[Link, L] : Links_) {
@@ -296,20 +296,20 @@
     return std::max(ReadPauseUntil_, RunningSince_ + StartupReadStep * Rank);
   }
   bool OtherReads = FirstReader_.Score_ < Score_;
-  MonoTime ToldAt =
+  MonoTime ConfirmedAt =
       OtherReads ? std::max(ConfirmedAsOf_, FirstReader_.At_) : ConfirmedAsOf_;
-  return std::max(ReadPauseUntil_, takeoverTime(ToldAt));
+  return std::max(ReadPauseUntil_, takeoverTime(ConfirmedAt));
 }
 
-/// Returns when to read if the state or the reader was last confirmed at \p
-/// ToldAt. The rank counts while a balancer with a lower score is alive. In a
-/// network partition without one, members read within a bound that doesn't
-/// depend on their ranks.
-MonoTime GossipNode::Impl::takeoverTime(MonoTime ToldAt) const {
+/// Returns when to read if the state or the reader was last confirmed at
+/// \p ConfirmedAt. The rank counts while a balancer with a lower score is
+/// alive. In a network partition without one, members read within a bound that
+/// doesn't depend on their ranks.
+MonoTime GossipNode::Impl::takeoverTime(MonoTime ConfirmedAt) const {
   std::size_t Rank = Members_.rankOf(Score_);
   if (Rank == 0)
     return ConfirmedAsOf_;
-  MonoTime From = ToldAt + TakeoverAge;
+  MonoTime From = ConfirmedAt + TakeoverAge;
   if (Links_.empty())
     return From;
   bool FirstInPartition =
--- a/test/evacuation-test.cc
+++ b/test/evacuation-test.cc
@@ -179,14 +179,14 @@
       auto Hall = "hall-" + std::to_string(*rc::gen::inRange(0, 4));
       std::size_t A = Any();
       std::size_t B = Any();
-      int Trouble = *rc::gen::inRange(0, 6);
-      Fleet.setSuspended(A, Trouble == 0);
-      Fleet.setRefused(A, Trouble == 1);
-      Fleet.setUnresponsive(A, Trouble == 2);
-      Fleet.setServiceDown(Trouble == 3);
-      if (Trouble == 4 && A != B)
+      int Fault = *rc::gen::inRange(0, 6);
+      Fleet.setSuspended(A, Fault == 0);
+      Fleet.setRefused(A, Fault == 1);
+      Fleet.setUnresponsive(A, Fault == 2);
+      Fleet.setServiceDown(Fault == 3);
+      if (Fault == 4 && A != B)
         Fleet.setBlocked(A, B, true);
-      if (Trouble == 5)
+      if (Fault == 5)
         Fleet.kill(A);
       Now += std::chrono::milliseconds(*rc::gen::inRange(0, 1500));
       Fleet.run(Now);
@@ -202,9 +202,9 @@
       Fleet.setRefused(A, false);
       Fleet.setUnresponsive(A, false);
       Fleet.setServiceDown(false);
-      if (Trouble == 4 && A != B)
+      if (Fault == 4 && A != B)
         Fleet.setBlocked(A, B, false);
-      if (Trouble == 5)
+      if (Fault == 5)
         Fleet.restart(A);
     }
     Fleet.run(Now + 5s);
--- a/test/fleet-start-test.cc
+++ b/test/fleet-start-test.cc
@@ -89,11 +89,11 @@
     Revision R = S.fleet().publish();
     S.fleet().run(6s);
     CHECK(S.fleet().allKnow(R));
-    std::size_t Told = 0;
+    std::size_t Received = 0;
     for (std::size_t Which = 0; Which < Balancers; ++Which)
-      Told += S.fleet().upstreamsReceived(Which);
+      Received += S.fleet().upstreamsReceived(Which);
     // A tenth more for changes meanwhile.
-    CHECK(Told <= Balancers * List * 11 / 10);
+    CHECK(Received <= Balancers * List * 11 / 10);
   }
 }
 
--- a/test/intent-reader-test.cc
+++ b/test/intent-reader-test.cc
@@ -191,17 +191,17 @@
 TEST_CASE("a service without stale lists is asked for a full list") {
   for (Outcome What : {Outcome::Refused, Outcome::Failed}) {
     ConfigReader Reader(0);
-    std::vector<Kind> Asked;
-    for (MonoTime Now = at(0ms); Asked.size() < 9; Now = Reader.dueAt({})) {
+    std::vector<Kind> Calls;
+    for (MonoTime Now = at(0ms); Calls.size() < 9; Now = Reader.dueAt({})) {
       auto Next = Reader.next(Now, {});
       REQUIRE(Next);
-      Asked.push_back(Next->Kind_);
+      Calls.push_back(Next->Kind_);
       Reader.answered(Now + 4ms, response(What), 1);
     }
     // A short outage must not make a whole fleet read full lists.
     std::vector<Kind> Expected(8, Kind::StaleList);
     Expected.push_back(Kind::List);
-    CHECK(Asked == Expected);
+    CHECK(Calls == Expected);
   }
 }
 
--- a/test/member-list-test.cc
+++ b/test/member-list-test.cc
@@ -58,21 +58,21 @@
   MemberList List("a");
   for (const char *Name : {"b", "c", "d", "e", "f"})
     List.learn(at(0ms), member(Name, 1000));
-  std::multiset<std::string> Told;
-  for (int Beat = 0; Beat < 5; ++Beat)
+  std::multiset<std::string> Reported;
+  for (int Heartbeat = 0; Heartbeat < 5; ++Heartbeat)
     for (const Member &M : List.nextMembers(at(500ms), 2)) {
-      Told.insert(M.Name_);
+      Reported.insert(M.Name_);
       CHECK(M.AgeMs_ == 1500);
     }
   for (const char *Name : {"b", "c", "d", "e", "f"})
-    CHECK(Told.count(Name) == 2);
+    CHECK(Reported.count(Name) == 2);
   CHECK(List.nextMembers(at(500ms), 64).size() == 5);
 }
 
 namespace {
 
-/// A list with the lowest reader scores of \p Count members and with each \p
-/// Stride-th of the others.
+/// A list with the lowest reader scores of \p Count members and with each
+/// \p Stride-th of the others.
 struct Sample {
   Sample(std::size_t Count, std::size_t Stride) : List_("lb-self") {
     std::vector<std::uint64_t> Scores;
@@ -120,12 +120,12 @@
 TEST_CASE(
     "the members of the lowest reader scores are sent in round-robin order") {
   Sample S(585, 13);
-  std::set<std::string> Told;
+  std::set<std::string> Reported;
   for (std::size_t I = 0; I < MemberList::FirstReaderCount; ++I)
     for (const Member &M :
          S.List_.nextFirstReader(MonoTime(std::chrono::seconds(101))))
-      Told.insert(M.Name_);
-  CHECK(Told.size() == MemberList::FirstReaderCount);
-  for (const std::string &Name : Told)
+      Reported.insert(M.Name_);
+  CHECK(Reported.size() == MemberList::FirstReaderCount);
+  for (const std::string &Name : Reported)
     CHECK(readerScore(Name) <= S.Sorted_[MemberList::FirstReaderCount - 1]);
 }
--- a/test/news-fleet.cc
+++ b/test/news-fleet.cc
@@ -254,8 +254,8 @@
       GossipMessage M;
       bool Open = Nodes_[To].Links_.count(RemoteLink) != 0;
       if (Open && decodeGossip(Bytes, Events_.now(), M) == ErrorKind::None) {
-        if (const auto *Told = std::get_if<StateUpdate>(&M))
-          Nodes_[To].UpstreamsReceived_ += Told->Upstreams_.Changes_.size();
+        if (const auto *Update = std::get_if<StateUpdate>(&M))
+          Nodes_[To].UpstreamsReceived_ += Update->Upstreams_.Changes_.size();
         Nodes_[To].Gossip_->received(Events_.now(), RemoteLink, M);
       }
       pollReader(To);
@@ -272,10 +272,10 @@
   if (Known == Nodes_[Which].Links_.end())
     return;
   auto [Peer, RemoteLink] = Known->second;
-  bool Silent = Nodes_[Which].DeadLinks_.count(Link) != 0;
+  bool LinkDead = Nodes_[Which].DeadLinks_.count(Link) != 0;
   Nodes_[Which].Links_.erase(Known);
   runOnNode(Which, [=] { Nodes_[Which].Gossip_->closed(Events_.now(), Link); });
-  if (Silent)
+  if (LinkDead)
     return; // the peer isn't notified
   Nodes_[Peer].Links_.erase(RemoteLink);
   runOnNode(Peer, [this, Peer = Peer, RemoteLink = RemoteLink] {
--- a/test/news-start-test.cc
+++ b/test/news-start-test.cc
@@ -75,35 +75,35 @@
 
 TEST_CASE("peers are notified of a balancer's start or resumption, and of "
           "nothing else") {
-  std::map<std::size_t, MonoTime> ArrivedAt;
+  std::map<std::size_t, MonoTime> JoinedAt;
   MemberHooks Hooks;
   Hooks.OnPeerJoined_ = [&](std::size_t Which, MonoTime At) {
-    ArrivedAt[Which] = At;
+    JoinedAt[Which] = At;
   };
   GossipFleet Fleet(8, 3, Hooks);
   Fleet.run(8s);
-  ArrivedAt.clear();
+  JoinedAt.clear();
   Fleet.run(15s);
-  CHECK(ArrivedAt.empty());
+  CHECK(JoinedAt.empty());
   SUBCASE("a start") {
     Fleet.kill(5);
     Fleet.run(18s);
-    CHECK(ArrivedAt.empty());
+    CHECK(JoinedAt.empty());
     Fleet.restart(5);
   }
   SUBCASE("a resumption") {
     Fleet.setSuspended(5, true);
     Fleet.run(18s);
-    CHECK(ArrivedAt.empty());
+    CHECK(JoinedAt.empty());
     Fleet.setSuspended(5, false);
   }
   MonoTime At = Fleet.clock();
   Fleet.run(18s + 300ms);
-  CHECK(ArrivedAt.size() >= 3); // the peers of its first links
-  for (const auto &[Which, Heard] : ArrivedAt) {
+  CHECK(JoinedAt.size() >= 3); // the peers of its first links
+  for (const auto &[Which, Time] : JoinedAt) {
     CHECK(Which != 5);
-    CHECK(Heard >= At - 2ms); // ages are whole milliseconds
-    CHECK(Heard <= At + 300ms);
+    CHECK(Time >= At - 2ms); // ages are whole milliseconds
+    CHECK(Time <= At + 300ms);
   }
 }
 
@@ -115,18 +115,18 @@
 }
 
 TEST_CASE("an outage costs a large fleet few calls, and its end is noticed") {
-  for (bool Silent : {true, false}) {
+  for (bool Unresponsive : {true, false}) {
     GossipFleet Fleet(90, 5);
     Fleet.run(8s);
     std::size_t Before = Fleet.calls();
     auto SetOutage = [&](bool Outage) {
       for (std::size_t Which = 0; Which < Fleet.size(); ++Which)
-        Silent ? Fleet.setUnresponsive(Which, Outage)
-               : Fleet.setRefused(Which, Outage);
+        Unresponsive ? Fleet.setUnresponsive(Which, Outage)
+                     : Fleet.setRefused(Which, Outage);
     };
     SetOutage(true);
     Fleet.run(14s);
-    CAPTURE(Silent);
+    CAPTURE(Unresponsive);
     // One each before the failures are known, then the rate of the fleet.
     CHECK(Fleet.calls() - Before <= 2 * Fleet.size());
     SetOutage(false);
--- a/test/news-test.cc
+++ b/test/news-test.cc
@@ -40,16 +40,16 @@
 }
 
 TEST_CASE("another reader takes over after any fault of the reader") {
-  using Trouble = void (*)(GossipFleet &, std::size_t);
-  const Trouble Troubles[] = {
+  using Fault = void (*)(GossipFleet &, std::size_t);
+  const Fault Faults[] = {
       [](GossipFleet &F, std::size_t I) { F.kill(I); },
       [](GossipFleet &F, std::size_t I) { F.setRefused(I, true); },
       [](GossipFleet &F, std::size_t I) { F.setUnresponsive(I, true); },
   };
-  for (Trouble Strike : Troubles) {
+  for (Fault Inject : Faults) {
     GossipFleet Fleet(8);
     Fleet.run(5s);
-    Strike(Fleet, Fleet.lastReader());
+    Inject(Fleet, Fleet.lastReader());
     Fleet.run(5s + 50ms);
     // Confirmed up to 0.5 s before the fault; takeover after 1.5 s plus rank.
     CHECK(propagationTime(Fleet, 4s) <= 2300ms);
@@ -224,17 +224,17 @@
   auto Table = std::make_shared<RoutingTable>();
   Table->Version_ = 3;
   Table->ColdPerSecond_[7] = 2.5;
-  StateUpdate Told;
-  Told.Routing_ = Table;
-  Told.Evacuations_ = {true, 9, {{"hall-a", 4, true}, {"hall-b", 9, true}}};
+  StateUpdate Sent;
+  Sent.Routing_ = Table;
+  Sent.Evacuations_ = {true, 9, {{"hall-a", 4, true}, {"hall-b", 9, true}}};
   GossipMessage Out;
-  REQUIRE(decodeGossip(encodeGossip(Told, MonoTime{}), MonoTime{}, Out) ==
+  REQUIRE(decodeGossip(encodeGossip(Sent, MonoTime{}), MonoTime{}, Out) ==
           ErrorKind::None);
-  const StateUpdate &Heard = std::get<StateUpdate>(Out);
-  CHECK(Heard.Routing_->coldPerSecond(ServiceId{7}) == 2.5);
-  CHECK(Heard.Evacuations_.Whole_);
-  CHECK(Heard.Evacuations_.Through_ == 9);
-  CHECK(Heard.Evacuations_.Changes_ == Told.Evacuations_.Changes_);
+  const StateUpdate &Received = std::get<StateUpdate>(Out);
+  CHECK(Received.Routing_->coldPerSecond(ServiceId{7}) == 2.5);
+  CHECK(Received.Evacuations_.Whole_);
+  CHECK(Received.Evacuations_.Through_ == 9);
+  CHECK(Received.Evacuations_.Changes_ == Sent.Evacuations_.Changes_);
 }
 
 TEST_CASE("gossip messages survive encoding, and damaged ones are rejected") {
@@ -324,7 +324,7 @@
 }
 
 TEST_CASE("no data hall is considered lost unless another one is healthy") {
-  auto Nobody = [](GossipFleet &Fleet, Micros Until) {
+  auto NeverLost = [](GossipFleet &Fleet, Micros Until) {
     for (Micros Time = 6s; Time < Until; Time += 50ms) {
       Fleet.run(Time);
       for (std::size_t I = 0; I < Fleet.size(); ++I)
@@ -337,18 +337,18 @@
   Killed.run(6s);
   for (std::size_t I = 0; I < 6; ++I) // leaves one in each hall
     Killed.kill(I);
-  CHECK(Nobody(Killed, 12s));
+  CHECK(NeverLost(Killed, 12s));
   GossipFleet CutOff(9);
   CutOff.run(6s);
   for (std::size_t I = 1; I < 9; ++I)
     CutOff.setBlocked(0, I, true);
-  CHECK(Nobody(CutOff, 12s));
+  CHECK(NeverLost(CutOff, 12s));
   // Too large for silence to have a meaning.
   GossipFleet Large(30);
   Large.run(6s);
   for (std::size_t I = 0; I < 24; ++I)
     Large.kill(I);
-  CHECK(Nobody(Large, 12s));
+  CHECK(NeverLost(Large, 12s));
 }
 
 TEST_CASE("connections that die silently delay changes by at most 2.5 s") {
--- a/test/reading-turn-test.cc
+++ b/test/reading-turn-test.cc
@@ -37,17 +37,18 @@
     Gossip_->readSucceeded(at(0s), List, at(0s));
   }
 
-  /// Receives a heartbeat of the peer: its state was confirmed at \p Known, and
-  /// the first balancer's last sign of life was at \p Living.
-  void heartbeat(Micros Now, Micros Known, Micros Living) {
+  /// Receives a heartbeat of the peer: its state was confirmed at
+  /// \p ConfirmedAt, and the first balancer's last sign of life was at \p
+  /// AliveAt.
+  void heartbeat(Micros Now, Micros ConfirmedAt, Micros AliveAt) {
     PeerHeartbeat M;
     M.Sender_ = member(Order_.back());
     M.Through_ = 5;
-    M.StateAgeMs_ = millis(Now - Known);
+    M.StateAgeMs_ = millis(Now - ConfirmedAt);
     M.ReaderScore_ = score(Order_.front());
-    M.ReaderAgeMs_ = millis(Now - Known);
+    M.ReaderAgeMs_ = millis(Now - ConfirmedAt);
     M.FirstAliveScore_ = score(Order_.front());
-    M.FirstAliveAgeMs_ = millis(Now - Living);
+    M.FirstAliveAgeMs_ = millis(Now - AliveAt);
     M.Sequence_ = ++Sequence_;
     M.EchoedSequence_ = LastReceivedSequence_;
     for (std::size_t I = 0; I < Fleet - 2; ++I)
@@ -74,8 +75,8 @@
   GossipHooks hooks() {
     GossipHooks Hooks;
     Hooks.Send_ = [this](LinkId, const GossipMessage &M) {
-      if (const auto *Beat = std::get_if<PeerHeartbeat>(&M))
-        LastReceivedSequence_ = Beat->Sequence_;
+      if (const auto *Heartbeat = std::get_if<PeerHeartbeat>(&M))
+        LastReceivedSequence_ = Heartbeat->Sequence_;
     };
     Hooks.Connect_ = [](const Endpoint &) {};
     Hooks.Close_ = [](LinkId) {};
