--- a/src/news-impl.h
+++ b/src/news-impl.h
@@ -1,6 +1,7 @@
 /// \file
-/// Inside of `NewsExchange`: what is known and who reads (news.cc), links and
-/// heartbeats (news-links.cc), and starts by parts of the list (news-parts.cc).
+/// Implementation of `GossipNode`: state and choice of the reader (news.cc),
+/// links and heartbeats (news-links.cc), starts from parts of the list
+/// (news-parts.cc).
 #ifndef THYMEWALL_SRC_NEWS_IMPL_H
 #define THYMEWALL_SRC_NEWS_IMPL_H
 
@@ -16,15 +17,13 @@
 
 namespace detail {
 
-/// The first balancer in the order of readers that something was heard of
-/// lately, and when that was so.
-struct FirstHeard {
+/// The lowest reader score that was reported recently, and when.
+struct LowestScore {
   std::uint64_t Score_ = 0;
   MonoTime At_{};
 
-  /// Takes in that it was so of \p Score \p At; what is older than \p Within
-  /// counts no more.
-  void note(std::uint64_t Score, MonoTime At, MonoTime Now, Micros Within) {
+  /// Records \p Score as of \p At. Reports older than \p Within expire.
+  void update(std::uint64_t Score, MonoTime At, MonoTime Now, Micros Within) {
     bool Lapsed = Now - At_ >= Within;
     if (Now - At >= Within || (Score > Score_ && !Lapsed))
       return;
@@ -33,51 +32,53 @@
   }
 };
 
-/// One connection to a peer.
-struct NewsLink {
-  struct Sent {
+/// A connection to a peer.
+struct GossipLink {
+  struct SentHeartbeat {
     std::uint64_t Sequence_;
     MonoTime At_;
   };
 
-  bool OpenedHere_ = false;
-  bool SentOn_ = false; ///< One too many: the peer is to link to others.
-  std::string Peer_;    ///< Name, once a heartbeat came.
-  MonoTime SilentAt_{};
+  bool Outbound_ = false;
+  /// Surplus inbound link; closed once the peer knows other members.
+  bool Redirected_ = false;
+  std::string Peer_; ///< Name; empty before the first heartbeat.
+  MonoTime ExpiresAt_{};
   std::uint64_t Sequence_ = 0;
-  std::uint64_t LastHeard_ = 0;
-  std::deque<Sent> Sent_;
-  MonoTime AskedAt_{}; ///< When news was last asked for.
-  /// As the peer's last heartbeat told: what it has of the list.
+  std::uint64_t LastReceivedSequence_ = 0;
+  std::deque<SentHeartbeat> SentHeartbeats_;
+  MonoTime RequestedAt_{}; ///< When state was last requested.
+  /// Parts and number of upstreams that the peer's last heartbeat reported.
   ListParts PeerParts_;
-  std::uint32_t PeerListed_ = 0;
-  /// Parts that it was asked for and has yet to send, at most until then.
-  ListParts AskedParts_;
-  MonoTime AskedPartsUntil_{};
-  bool AskedEnded_ = false;
-  /// Questions that wait for their answers, which come in the same order: true
-  /// for those that ask for ended upstreams too. Without the order any three
-  /// news of one peer end the asking of others.
-  std::deque<bool> Questions_;
-
-  /// True when the answer that has come is one on ended upstreams.
-  bool takeAnswer() {
-    if (Questions_.empty())
+  std::uint32_t PeerUpstreamCount_ = 0;
+  /// Parts requested from the peer and not received yet, and their deadline.
+  ListParts RequestedParts_;
+  MonoTime PartsRequestDeadline_{};
+  bool RequestedEnded_ = false;
+  /// Requests without a response, in the order of their responses; true for
+  /// those that include ended upstreams. Only their responses count as answers
+  /// on ended upstreams.
+  std::deque<bool> PendingRequests_;
+
+  /// Removes the oldest request; true if it included ended upstreams.
+  bool popRequest() {
+    if (PendingRequests_.empty())
       return false;
-    bool Ended = Questions_.front();
-    Questions_.pop_front();
+    bool Ended = PendingRequests_.front();
+    PendingRequests_.pop_front();
     return Ended;
   }
 
-  /// How many upstreams there are, judged by what the peer has of them.
-  std::size_t peerList() const {
-    return PeerListed_ * ListPartCount /
+  /// Estimates the length of the full list from what the peer has of it.
+  std::size_t estimatedListSize() const {
+    return PeerUpstreamCount_ * ListPartCount /
            std::max<std::size_t>(PeerParts_.count(), 1);
   }
 
-  /// The time after which the peer must have sent a message with this echo.
+  /// Returns when the heartbeat was sent that the peer echoes; a message with
+  /// this echo can't be older.
   MonoTime sentAt(std::uint64_t Echo) const {
-    for (const Sent &S : Sent_)
+    for (const SentHeartbeat &S : SentHeartbeats_)
       if (S.Sequence_ == Echo)
         return S.At_;
     return MonoTime{};
@@ -86,125 +87,132 @@
 
 } // namespace detail
 
-class NewsExchange::Impl {
+class GossipNode::Impl {
 public:
-  Impl(NewsOptions Options, NewsHooks Hooks)
+  Impl(GossipOptions Options, GossipHooks Hooks)
       : Options_(std::move(Options)), Hooks_(std::move(Hooks)),
         Members_(Options_.Self_.Name_),
-        Score_(detail::readScore(Options_.Self_.Name_)) {}
+        Score_(detail::readerScore(Options_.Self_.Name_)) {}
 
-  void opened(MonoTime Now, LinkId Which, bool OpenedHere);
-  void closed(MonoTime Now, LinkId Which);
+  void opened(MonoTime Now, LinkId Link, bool Outbound);
+  void closed(MonoTime Now, LinkId Link);
   void connectFailed(MonoTime Now, const Endpoint &Control);
-  void received(MonoTime Now, LinkId Which, const NewsMessage &M);
-  bool readDone(MonoTime Now, const IntentAnswer &Answer, MonoTime AsOf);
-  void readStale(MonoTime Now, const IntentAnswer &Answer);
-  void readFailed() { Reading_ = false; }
-  void readingList(MonoTime Now);
-  void warn(MonoTime Now, const UpstreamWarning &M) { tell(Now, M, nullptr); }
+  void received(MonoTime Now, LinkId Link, const GossipMessage &M);
+  bool readSucceeded(MonoTime Now, const ConfigResponse &Response,
+                     MonoTime AsOf);
+  void staleListRead(MonoTime Now, const ConfigResponse &Response);
+  void readFailed() { IsReader_ = false; }
+  void listReadStarted(MonoTime Now);
+  void warn(MonoTime Now, const UpstreamWarning &M) {
+    forwardWarning(Now, M, nullptr);
+  }
   void setLeaving(MonoTime Now);
   void setSeeds(std::vector<Endpoint> Seeds) {
     Options_.Seeds_ = std::move(Seeds);
   }
   void tick(MonoTime Now);
-  MonoTime readFrom() const;
+  MonoTime nextReadAt() const;
   Revision through() const { return List_.through(); }
-  MonoTime knownAsOf() const { return KnownAsOf_; }
+  MonoTime confirmedAsOf() const { return ConfirmedAsOf_; }
   std::size_t fleetSize() const {
     return Links_.empty() ? 1 : Members_.fleetSize();
   }
   FleetView fleetView(MonoTime Now) const;
-  bool hallIsLost(MonoTime Now) const {
-    return Members_.hallIsLost(Now, Options_.Self_.DataHall_);
+  bool isDataHallLost(MonoTime Now) const {
+    return Members_.isDataHallLost(Now, Options_.Self_.DataHall_);
   }
-  NewsCounters counters() const;
-  std::vector<PeerStatus> peers() const;
+  GossipCounters counters() const;
+  std::vector<MemberStatus> peers() const;
 
 private:
-  void take(MonoTime Now, LinkId Which, const PeerHeartbeat &M);
-  void take(MonoTime Now, LinkId Which, const NewsWanted &M);
-  void take(MonoTime Now, LinkId Which, const News &M);
-  void take(MonoTime Now, LinkId Which, const UpstreamWarning &M);
-  bool tell(MonoTime Now, const UpstreamWarning &M, const LinkId *From);
-  void noteArrival(MonoTime Now, const PeerHeartbeat &M);
+  void handle(MonoTime Now, LinkId Link, const PeerHeartbeat &M);
+  void handle(MonoTime Now, LinkId Link, const StateRequest &M);
+  void handle(MonoTime Now, LinkId Link, const StateUpdate &M);
+  void handle(MonoTime Now, LinkId Link, const UpstreamWarning &M);
+  bool forwardWarning(MonoTime Now, const UpstreamWarning &M,
+                      const LinkId *From);
+  void notifyIfJoined(MonoTime Now, const PeerHeartbeat &M);
   bool apply(MonoTime Now, const RoutingTablePtr &Routing,
              const UpstreamBatch &Upstreams,
              const EvacuationBatch &Evacuations);
   void applyEvacuations(const EvacuationBatch &Batch);
-  void takeClaim(MonoTime Now, const detail::NewsLink &L,
-                 const PeerHeartbeat &M);
+  void acceptConfirmation(MonoTime Now, const detail::GossipLink &L,
+                          const PeerHeartbeat &M);
   void noteReader(std::uint64_t Score, MonoTime At, MonoTime Now);
-  void noteLiving(MonoTime Now, std::uint64_t Score, MonoTime At);
-  void takeLiving(MonoTime Now, const detail::NewsLink &L,
-                  const PeerHeartbeat &M);
-  Micros cutOffSpread() const;
-  MonoTime turnToRead(MonoTime ToldAt) const;
+  void noteAlive(MonoTime Now, std::uint64_t Score, MonoTime At);
+  void acceptFirstAlive(MonoTime Now, const detail::GossipLink &L,
+                        const PeerHeartbeat &M);
+  Micros partitionJitter() const;
+  MonoTime takeoverTime(MonoTime ConfirmedAt) const;
   void confirm(MonoTime Now, MonoTime AsOf);
-  void askIfBehind(MonoTime Now, LinkId Which, const PeerHeartbeat &M);
-  void closeSpare(LinkId Which, const std::string &Peer);
-  bool acceptsNoMore() const;
-  /// The parts of the list that are here, whichever revision they are of.
-  ListParts partsHere() const {
+  void requestIfBehind(MonoTime Now, LinkId Link, const PeerHeartbeat &M);
+  void closeDuplicate(LinkId Link, const std::string &Peer);
+  bool inboundLinksFull() const;
+  /// Parts of the list that this balancer has, of whatever revision.
+  ListParts heldParts() const {
     return List_.through() == 0 ? Parts_ : allParts();
   }
-  bool startsByParts(const detail::NewsLink &L) const {
-    bool Long = Parts_.any() || L.peerList() > UpstreamsPerQuestion;
+  bool startsFromParts(const detail::GossipLink &L) const {
+    bool Long = Parts_.any() || L.estimatedListSize() > UpstreamsPerRequest;
     return List_.through() == 0 && !Parts_.all() && Long;
   }
-  void askForParts(MonoTime Now, LinkId Which);
-  void takeParts(MonoTime Now, LinkId Which, const News &M);
-  bool bringsParts(const ListParts &Parts) const;
+  void requestParts(MonoTime Now, LinkId Link);
+  void handleParts(MonoTime Now, LinkId Link, const StateUpdate &M);
+  bool hasMissingParts(const ListParts &Parts) const;
   void addParts(MonoTime Now, const ListParts &Parts);
-  std::optional<PartDigests> digestsToSend() const;
-  PeerHeartbeat heartbeat(MonoTime Now, std::size_t Members);
-  void beat(MonoTime Now, LinkId Which, detail::NewsLink &L,
-            std::size_t Members);
-  void beatAll(MonoTime Now);
-  void keepLinks(MonoTime Now);
+  std::optional<PartDigests> requestDigests() const;
+  PeerHeartbeat heartbeat(MonoTime Now, std::size_t MemberCount);
+  void sendHeartbeat(MonoTime Now, LinkId Link, detail::GossipLink &L,
+                     std::size_t MemberCount);
+  void sendHeartbeats(MonoTime Now);
+  void maintainLinks(MonoTime Now);
   void connectSeeds();
   void connectSeed(const Endpoint &Seed);
-  void lookForOthers();
-  std::vector<Member> linkToWanted(MonoTime Now);
-  void closeUnwanted(const std::vector<Member> &Wanted);
+  void probeSeeds();
+  std::vector<Member> connectToChosen(MonoTime Now);
+  void closeSurplusLinks(const std::vector<Member> &Chosen);
   void connect(const Endpoint &Control);
   bool linkedTo(const std::string &Name) const;
-  std::uint32_t knownAgeMs(MonoTime Now) const {
-    return KnownAsOf_ == MonoTime{} ? PeerHeartbeat::NeverKnown
-                                    : detail::ageMs(KnownAsOf_, Now);
+  std::uint32_t stateAgeMs(MonoTime Now) const {
+    return ConfirmedAsOf_ == MonoTime{} ? PeerHeartbeat::UnknownAgeMs
+                                        : detail::ageMs(ConfirmedAsOf_, Now);
   }
 
-  NewsOptions Options_;
-  NewsHooks Hooks_;
-  NewsCounters Counters_;
+  GossipOptions Options_;
+  GossipHooks Hooks_;
+  GossipCounters Counters_;
   RoutingTablePtr Routing_;
   UpstreamList List_;
-  ListParts Parts_;           ///< That `List_` has while it isn't complete.
-  std::size_t ToldParts_ = 0; ///< How many of them peers were told of.
+  ListParts Parts_;                ///< Parts in `List_` while it is incomplete.
+  std::size_t AnnouncedParts_ = 0; ///< Number of parts last sent to peers.
   std::size_t SeedAttempts_ = 0;
-  std::uint64_t Draws_ = 0; ///< Of balancers that look for other parts.
+  std::uint64_t ProbeCount_ = 0; ///< Seeds the random choice of `probeSeeds`.
   EvacuationList Evacuations_;
-  std::map<LinkId, detail::NewsLink> Links_;
+  std::map<LinkId, detail::GossipLink> Links_;
   detail::MemberList Members_;
   std::set<Endpoint> Connecting_;
-  std::map<UpstreamWarning, MonoTime> Told_; ///< Until when not told again.
-  std::uint64_t Score_;                      ///< Place in the order of readers.
-  detail::FirstHeard Reader_;    ///< Of those that read, by its last answer.
-  MonoTime ToldLivingAt_{};      ///< `Living_` when it was last told.
-  detail::FirstHeard Living_;    ///< Of those that live.
-  MonoTime FirstSince_{};        ///< Since when nobody before this one lives.
-  std::uint64_t ToldReader_ = 0; ///< Whom of `Reader_` peers were told.
-  MonoTime KnownAsOf_{};
-  MonoTime ToldAsOf_{}; ///< `KnownAsOf_` when it was last told.
-  /// Not before: peers have yet to tell who reads.
-  MonoTime ReadAgainFrom_{};
+  std::map<UpstreamWarning, MonoTime>
+      RecentWarnings_;              ///< Expiry of each warning.
+  std::uint64_t Score_;             ///< Reader score of this balancer.
+  detail::LowestScore FirstReader_; ///< Of readers, by their last answer.
+  MonoTime AnnouncedAliveAt_{};     ///< Last sent time of `FirstAlive_`.
+  detail::LowestScore FirstAlive_;  ///< Of live balancers.
+  /// Since when no live balancer has a lower score.
+  MonoTime FirstAliveSince_{};
+  std::uint64_t AnnouncedReader_ = 0; ///< Last sent `FirstReader_`.
+  MonoTime ConfirmedAsOf_{};
+  MonoTime AnnouncedAsOf_{}; ///< Last sent `ConfirmedAsOf_`.
+  /// End of the pause after the first read.
+  MonoTime ReadPauseUntil_{};
   MonoTime LastTick_{};
-  MonoTime PresentSince_{}; ///< The start, or the end of the last sleep.
-  MonoTime NextBeat_{};
-  MonoTime TellMembersAt_{};
-  MonoTime AskAgainAt_{};
-  std::size_t EndedAnswers_ = 0; ///< Not more are asked for than are needed.
-  bool EverRead_ = false;
-  bool Reading_ = false; ///< Reads, and knows of no better one that does.
+  MonoTime RunningSince_{}; ///< Start, or end of the last suspension.
+  MonoTime NextHeartbeatAt_{};
+  MonoTime NextMembersAt_{};
+  MonoTime NextRequestAt_{};
+  std::size_t EndedResponses_ = 0; ///< At most `MaxEndedRequests` are needed.
+  bool HasRead_ = false;
+  /// Reads for the fleet, and knows of no reader with a lower score.
+  bool IsReader_ = false;
   bool Leaving_ = false;
 };
 
--- a/src/news-links.cc
+++ b/src/news-links.cc
@@ -4,185 +4,186 @@
 
 namespace thymewall {
 
-using detail::NewsLink;
+using detail::GossipLink;
 
 namespace {
 
-/// Members told of when a link opens, and with each heartbeat.
-constexpr std::size_t MembersAtOpening = 64;
+/// Members sent when a link opens, and with each later heartbeat.
+constexpr std::size_t MembersOnOpen = 64;
 constexpr std::size_t MembersPerHeartbeat = 3;
-/// Of the links that a balancer opens, those to other data halls. In a large
-/// fleet each hall has hundreds of such links, and bytes between halls cost
-/// more than those within one.
-constexpr std::size_t FarLinks = 2;
-constexpr std::size_t FarLinksOfMany = 1;
-/// Ticks during which a start without links tries one seed only.
-constexpr std::size_t TriesOfOneSeed = 2;
-/// Heartbeats whose time of sending is remembered for a link.
-constexpr std::size_t SentTimesKept = 16;
+/// Outbound links to other data halls. A large fleet has hundreds of them per
+/// hall, and traffic between halls costs more than within one.
+constexpr std::size_t RemoteHallLinks = 2;
+constexpr std::size_t RemoteHallLinksLargeFleet = 1;
+/// Ticks during which a start without links tries only one seed.
+constexpr std::size_t SingleSeedAttempts = 2;
+/// Sent heartbeats whose times are kept per link.
+constexpr std::size_t MaxSentHeartbeats = 16;
 
 } // namespace
 
-void NewsExchange::Impl::opened(MonoTime Now, LinkId Which, bool OpenedHere) {
-  bool SentOn = !OpenedHere && acceptsNoMore();
-  NewsLink &L = Links_[Which];
-  L.OpenedHere_ = OpenedHere;
-  L.SentOn_ = SentOn;
-  L.SilentAt_ = Now + SilentAfter;
-  beat(Now, Which, L, MembersAtOpening);
+void GossipNode::Impl::opened(MonoTime Now, LinkId Link, bool Outbound) {
+  bool Redirected = !Outbound && inboundLinksFull();
+  GossipLink &L = Links_[Link];
+  L.Outbound_ = Outbound;
+  L.Redirected_ = Redirected;
+  L.ExpiresAt_ = Now + LinkTimeout;
+  sendHeartbeat(Now, Link, L, MembersOnOpen);
 }
 
-void NewsExchange::Impl::closed(MonoTime Now, LinkId Which) {
-  auto Known = Links_.find(Which);
+void GossipNode::Impl::closed(MonoTime Now, LinkId Link) {
+  auto Known = Links_.find(Link);
   if (Known == Links_.end())
     return;
   std::string Peer = Known->second.Peer_;
-  if (!Known->second.Questions_.empty())
-    AskAgainAt_ = Now; // no answer will come
+  if (!Known->second.PendingRequests_.empty())
+    NextRequestAt_ = Now; // no response will come
   Links_.erase(Known);
   if (!linkedTo(Peer))
-    Members_.avoid(Peer, Now + AvoidFor);
+    Members_.avoid(Peer, Now + ReconnectDelay);
   if (Links_.empty() && !Leaving_)
-    linkToWanted(Now); // a seed may have sent this balancer on
+    connectToChosen(Now); // a seed may have redirected this balancer
 }
 
-void NewsExchange::Impl::connectFailed(MonoTime Now, const Endpoint &Control) {
+void GossipNode::Impl::connectFailed(MonoTime Now, const Endpoint &Control) {
   Connecting_.erase(Control);
-  Members_.avoid(Control, Now + AvoidFor);
+  Members_.avoid(Control, Now + ReconnectDelay);
 }
 
-void NewsExchange::Impl::setLeaving(MonoTime Now) {
+void GossipNode::Impl::setLeaving(MonoTime Now) {
   Leaving_ = true;
-  beatAll(Now);
+  sendHeartbeats(Now);
 }
 
-void NewsExchange::Impl::closeSpare(LinkId Which, const std::string &Peer) {
-  // Of two links between two balancers, the one that the later name opened
-  // goes.
+void GossipNode::Impl::closeDuplicate(LinkId Link, const std::string &Peer) {
+  // Of two links between a pair, closes the one opened by the later name.
   auto Count =
       std::count_if(Links_.begin(), Links_.end(), [&](const auto &Item) {
         return Item.second.Peer_ == Peer;
       });
-  if (Count < 2 || !Links_[Which].OpenedHere_ || Options_.Self_.Name_ < Peer)
+  if (Count < 2 || !Links_[Link].Outbound_ || Options_.Self_.Name_ < Peer)
     return;
-  Hooks_.Close_(Which);
+  Hooks_.Close_(Link);
 }
 
-PeerHeartbeat NewsExchange::Impl::heartbeat(MonoTime Now, std::size_t Count) {
+PeerHeartbeat GossipNode::Impl::heartbeat(MonoTime Now,
+                                          std::size_t MemberCount) {
   PeerHeartbeat M;
   M.Sender_ = Options_.Self_;
   M.Leaving_ = Leaving_;
   M.Routing_ = Routing_ ? Routing_->Version_ : 0;
   M.Through_ = List_.through();
-  M.KnownAgeMs_ = knownAgeMs(Now);
-  M.Reader_ = Reader_.Score_;
-  if (Now - Reader_.At_ < ReadAfter)
-    M.ReaderAgeMs_ = detail::ageMs(Reader_.At_, Now);
-  M.Living_ = Living_.Score_;
-  if (Now - Living_.At_ < SilentAfter)
-    M.LivingAgeMs_ = detail::ageMs(Living_.At_, Now);
-  M.PresentMs_ = detail::ageMs(PresentSince_, Now);
-  M.Listed_ = static_cast<std::uint32_t>(List_.size());
+  M.StateAgeMs_ = stateAgeMs(Now);
+  M.ReaderScore_ = FirstReader_.Score_;
+  if (Now - FirstReader_.At_ < TakeoverAge)
+    M.ReaderAgeMs_ = detail::ageMs(FirstReader_.At_, Now);
+  M.FirstAliveScore_ = FirstAlive_.Score_;
+  if (Now - FirstAlive_.At_ < LinkTimeout)
+    M.FirstAliveAgeMs_ = detail::ageMs(FirstAlive_.At_, Now);
+  M.UptimeMs_ = detail::ageMs(RunningSince_, Now);
+  M.UpstreamCount_ = static_cast<std::uint32_t>(List_.size());
   if (List_.through() == 0)
     M.Parts_ = Parts_;
-  M.Members_ = Members_.inTurn(Now, Count);
-  if (Count > 0)
-    for (const Member &First : Members_.firstInTurn(Now))
+  M.Members_ = Members_.nextMembers(Now, MemberCount);
+  if (MemberCount > 0)
+    for (const Member &First : Members_.nextFirstReader(Now))
       M.Members_.push_back(First);
   return M;
 }
 
-void NewsExchange::Impl::beat(MonoTime Now, LinkId Which, NewsLink &L,
-                              std::size_t Members) {
-  PeerHeartbeat M = heartbeat(Now, Members);
+void GossipNode::Impl::sendHeartbeat(MonoTime Now, LinkId Link, GossipLink &L,
+                                     std::size_t MemberCount) {
+  PeerHeartbeat M = heartbeat(Now, MemberCount);
   M.Sequence_ = ++L.Sequence_;
-  M.Echo_ = L.LastHeard_;
-  L.Sent_.push_back({M.Sequence_, Now});
-  if (L.Sent_.size() > SentTimesKept)
-    L.Sent_.pop_front();
+  M.EchoedSequence_ = L.LastReceivedSequence_;
+  L.SentHeartbeats_.push_back({M.Sequence_, Now});
+  if (L.SentHeartbeats_.size() > MaxSentHeartbeats)
+    L.SentHeartbeats_.pop_front();
   ++Counters_.HeartbeatsSent_;
-  Hooks_.Send_(Which, M);
-}
-
-void NewsExchange::Impl::beatAll(MonoTime Now) {
-  ToldAsOf_ = KnownAsOf_;
-  ToldParts_ = Parts_.count();
-  ToldReader_ = Reader_.Score_;
-  ToldLivingAt_ = Living_.At_;
-  NextBeat_ = Now + HeartbeatEvery;
-  // Members once in the time of a heartbeat, however often more recent
-  // knowledge is told: they are most of a heartbeat's bytes.
-  bool TellMembers = Now >= TellMembersAt_;
-  if (TellMembers)
-    TellMembersAt_ = Now + HeartbeatEvery;
-  for (auto &[Which, L] : Links_)
-    beat(Now, Which, L, TellMembers ? MembersPerHeartbeat : 0);
-}
-
-void NewsExchange::Impl::tick(MonoTime Now) {
-  if (Now - LastTick_ > SleptFor)
-    PresentSince_ = Now;
+  Hooks_.Send_(Link, M);
+}
+
+void GossipNode::Impl::sendHeartbeats(MonoTime Now) {
+  AnnouncedAsOf_ = ConfirmedAsOf_;
+  AnnouncedParts_ = Parts_.count();
+  AnnouncedReader_ = FirstReader_.Score_;
+  AnnouncedAliveAt_ = FirstAlive_.At_;
+  NextHeartbeatAt_ = Now + HeartbeatInterval;
+  // Members are most of a heartbeat's bytes, so they are sent only once per
+  // heartbeat interval.
+  bool IncludeMembers = Now >= NextMembersAt_;
+  if (IncludeMembers)
+    NextMembersAt_ = Now + HeartbeatInterval;
+  for (auto &[Link, L] : Links_)
+    sendHeartbeat(Now, Link, L, IncludeMembers ? MembersPerHeartbeat : 0);
+}
+
+void GossipNode::Impl::tick(MonoTime Now) {
+  if (Now - LastTick_ > SuspendThreshold)
+    RunningSince_ = Now;
   LastTick_ = Now;
-  std::vector<LinkId> Silent;
-  for (const auto &[Which, L] : Links_)
-    if (Now > L.SilentAt_)
-      Silent.push_back(Which);
-  for (LinkId Which : Silent) {
-    closed(Now, Which);
-    Hooks_.Close_(Which);
+  std::vector<LinkId> Expired;
+  for (const auto &[Link, L] : Links_)
+    if (Now > L.ExpiresAt_)
+      Expired.push_back(Link);
+  for (LinkId Link : Expired) {
+    closed(Now, Link);
+    Hooks_.Close_(Link);
   }
-  Members_.forgetSilent(Now);
-  noteLiving(Now, Score_, Now);
-  for (auto Item = Told_.begin(); Item != Told_.end();)
-    Item = Now >= Item->second ? Told_.erase(Item) : std::next(Item);
-  bool MoreParts = List_.through() == 0 && Parts_.count() > ToldParts_;
-  if (Now >= NextBeat_ || MoreParts)
-    beatAll(Now);
-  keepLinks(Now);
+  Members_.expireSilent(Now);
+  noteAlive(Now, Score_, Now);
+  for (auto Item = RecentWarnings_.begin(); Item != RecentWarnings_.end();)
+    Item = Now >= Item->second ? RecentWarnings_.erase(Item) : std::next(Item);
+  bool MoreParts = List_.through() == 0 && Parts_.count() > AnnouncedParts_;
+  if (Now >= NextHeartbeatAt_ || MoreParts)
+    sendHeartbeats(Now);
+  maintainLinks(Now);
 }
 
-bool NewsExchange::Impl::linkedTo(const std::string &Name) const {
+bool GossipNode::Impl::linkedTo(const std::string &Name) const {
   return std::any_of(Links_.begin(), Links_.end(), [&](const auto &Item) {
     return Item.second.Peer_ == Name;
   });
 }
 
-void NewsExchange::Impl::keepLinks(MonoTime Now) {
+void GossipNode::Impl::maintainLinks(MonoTime Now) {
   if (Leaving_)
     return;
   if (Links_.empty())
     connectSeeds();
   else
-    lookForOthers();
-  closeUnwanted(linkToWanted(Now));
+    probeSeeds();
+  closeSurplusLinks(connectToChosen(Now));
 }
 
-std::vector<Member> NewsExchange::Impl::linkToWanted(MonoTime Now) {
-  std::vector<Member> Wanted =
-      detail::choosePeers(Members_.reachable(Now), Options_.Self_, OpenedLinks,
-                          Members_.hearsOfAll() ? FarLinks : FarLinksOfMany);
-  for (const Member &M : Wanted)
+std::vector<Member> GossipNode::Impl::connectToChosen(MonoTime Now) {
+  std::vector<Member> Chosen = detail::choosePeers(
+      Members_.reachable(Now), Options_.Self_, OutboundLinks,
+      Members_.tracksAllMembers() ? RemoteHallLinks
+                                  : RemoteHallLinksLargeFleet);
+  for (const Member &M : Chosen)
     if (!linkedTo(M.Name_))
       connect(M.Control_);
-  return Wanted;
+  return Chosen;
 }
 
-/// First one of the seeds, so that each meets a part of a fleet that starts,
-/// then all. Seeds meet each other at once, which joins the parts.
-void NewsExchange::Impl::connectSeeds() {
+/// Tries one seed first, which spreads a starting fleet over its seeds, and all
+/// seeds after some attempts. Seeds connect to each other at once, which joins
+/// their groups.
+void GossipNode::Impl::connectSeeds() {
   const std::vector<Endpoint> &Seeds = Options_.Seeds_;
   bool IsSeed = std::find(Seeds.begin(), Seeds.end(),
                           Options_.Self_.Control_) != Seeds.end();
-  bool All = IsSeed || SeedAttempts_++ >= TriesOfOneSeed;
+  bool All = IsSeed || SeedAttempts_++ >= SingleSeedAttempts;
   for (std::size_t I = 0; I < Seeds.size(); ++I)
     if (All || Score_ % Seeds.size() == I)
       connectSeed(Seeds[I]);
 }
 
-/// Seeds that are no members are where another part of the fleet may be: at
-/// each tick about one balancer of those that know each other tries.
-void NewsExchange::Impl::lookForOthers() {
-  std::uint64_t Draw = hashPair(Score_, ++Draws_);
+/// Looks for other partitions of the fleet at seeds that aren't members. On
+/// average one balancer of a partition tries per tick.
+void GossipNode::Impl::probeSeeds() {
+  std::uint64_t Draw = hashPair(Score_, ++ProbeCount_);
   if (Draw % (Members_.size() + 1) != 0)
     return;
   for (const Endpoint &Seed : Options_.Seeds_)
@@ -191,44 +192,44 @@
       connectSeed(Seed);
 }
 
-void NewsExchange::Impl::connectSeed(const Endpoint &Seed) {
+void GossipNode::Impl::connectSeed(const Endpoint &Seed) {
   if (Seed != Options_.Self_.Control_)
     connect(Seed);
 }
 
-/// Whether enough links are accepted without a further one.
-bool NewsExchange::Impl::acceptsNoMore() const {
+/// Whether another inbound link would exceed the limit.
+bool GossipNode::Impl::inboundLinksFull() const {
   auto Accepted =
       std::count_if(Links_.begin(), Links_.end(), [](const auto &Item) {
-        return !Item.second.OpenedHere_ && !Item.second.SentOn_;
+        return !Item.second.Outbound_ && !Item.second.Redirected_;
       });
-  return static_cast<std::size_t>(Accepted) >= AcceptedLinks;
+  return static_cast<std::size_t>(Accepted) >= MaxInboundLinks;
 }
 
-/// Closes links opened to others than the wanted peers, to seeds for example,
-/// once those are linked to: the number of links stays bounded everywhere.
-void NewsExchange::Impl::closeUnwanted(const std::vector<Member> &Wanted) {
-  auto IsWanted = [&](const std::string &Name) {
-    return std::any_of(Wanted.begin(), Wanted.end(),
+/// Closes outbound links to peers that weren't chosen, such as seeds, once all
+/// chosen peers are linked. Keeps the number of links bounded.
+void GossipNode::Impl::closeSurplusLinks(const std::vector<Member> &Chosen) {
+  auto IsChosen = [&](const std::string &Name) {
+    return std::any_of(Chosen.begin(), Chosen.end(),
                        [&](const Member &M) { return M.Name_ == Name; });
   };
-  if (Wanted.size() < OpenedLinks)
+  if (Chosen.size() < OutboundLinks)
     return;
-  for (const Member &M : Wanted)
+  for (const Member &M : Chosen)
     if (!linkedTo(M.Name_))
       return;
-  for (const auto &[Which, L] : Links_)
-    if (L.OpenedHere_ && !L.Peer_.empty() && !IsWanted(L.Peer_))
-      Hooks_.Close_(Which);
+  for (const auto &[Link, L] : Links_)
+    if (L.Outbound_ && !L.Peer_.empty() && !IsChosen(L.Peer_))
+      Hooks_.Close_(Link);
 }
 
-void NewsExchange::Impl::connect(const Endpoint &Control) {
+void GossipNode::Impl::connect(const Endpoint &Control) {
   if (Connecting_.insert(Control).second)
     Hooks_.Connect_(Control);
 }
 
-std::vector<PeerStatus> NewsExchange::Impl::peers() const {
-  std::vector<PeerStatus> Result;
+std::vector<MemberStatus> GossipNode::Impl::peers() const {
+  std::vector<MemberStatus> Result;
   for (const Member &M : Members_.all())
     Result.push_back({M, linkedTo(M.Name_)});
   return Result;
--- a/src/news.cc
+++ b/src/news.cc
@@ -6,205 +6,207 @@
 
 namespace thymewall {
 
-using detail::NewsLink;
+using detail::GossipLink;
 
 namespace {
 
-/// Peers that a start asks which upstreams have ended lately: all that ran
-/// before know the same, and one or two of three may have just started too.
-constexpr std::size_t AskedForEnded = 3;
+/// Peers that a starting balancer asks for recently ended upstreams. All
+/// running balancers know the same ones, but one or two of three may have just
+/// started too.
+constexpr std::size_t MaxEndedRequests = 3;
 
 } // namespace
 
-void NewsExchange::Impl::received(MonoTime Now, LinkId Which,
-                                  const NewsMessage &M) {
-  auto Known = Links_.find(Which);
+void GossipNode::Impl::received(MonoTime Now, LinkId Link,
+                                  const GossipMessage &M) {
+  auto Known = Links_.find(Link);
   if (Known == Links_.end())
     return;
-  Known->second.SilentAt_ = Now + SilentAfter;
-  std::visit([&](const auto &Typed) { take(Now, Which, Typed); }, M);
+  Known->second.ExpiresAt_ = Now + LinkTimeout;
+  std::visit([&](const auto &Typed) { handle(Now, Link, Typed); }, M);
 }
 
-void NewsExchange::Impl::take(MonoTime Now, LinkId Which,
+void GossipNode::Impl::handle(MonoTime Now, LinkId Link,
                               const PeerHeartbeat &M) {
   if (M.Sender_.Name_ == Options_.Self_.Name_)
-    return Hooks_.Close_(Which); // a seed that is this process itself
-  NewsLink &L = Links_[Which];
+    return Hooks_.Close_(Link); // a seed address of this process
+  GossipLink &L = Links_[Link];
   L.Peer_ = M.Sender_.Name_;
-  L.LastHeard_ = M.Sequence_;
+  L.LastReceivedSequence_ = M.Sequence_;
   Connecting_.erase(M.Sender_.Control_);
   if (M.Leaving_)
     Members_.remove(M.Sender_.Name_);
   else
     Members_.learn(Now, M.Sender_);
-  for (const Member &Told : M.Members_)
-    Members_.learn(Now, Told);
-  noteArrival(Now, M);
-  takeLiving(Now, L, M);
-  takeClaim(Now, L, M);
-  askIfBehind(Now, Which, M);
-  closeSpare(Which, M.Sender_.Name_);
-  if (L.SentOn_)
-    Hooks_.Close_(Which); // it has been told of members by now
+  for (const Member &Reported : M.Members_)
+    Members_.learn(Now, Reported);
+  notifyIfJoined(Now, M);
+  acceptFirstAlive(Now, L, M);
+  acceptConfirmation(Now, L, M);
+  requestIfBehind(Now, Link, M);
+  closeDuplicate(Link, M.Sender_.Name_);
+  if (L.Redirected_)
+    Hooks_.Close_(Link); // its members were learned above
 }
 
-void NewsExchange::Impl::noteArrival(MonoTime Now, const PeerHeartbeat &M) {
-  Micros Present = std::chrono::milliseconds(M.PresentMs_);
-  if (Hooks_.OnArrival_ && Present < ArrivedWithin)
-    Hooks_.OnArrival_(Now - Present);
+void GossipNode::Impl::notifyIfJoined(MonoTime Now, const PeerHeartbeat &M) {
+  Micros Uptime = std::chrono::milliseconds(M.UptimeMs_);
+  if (Hooks_.OnPeerJoined_ && Uptime < RecentStartAge)
+    Hooks_.OnPeerJoined_(Now - Uptime);
 }
 
-void NewsExchange::Impl::takeClaim(MonoTime Now, const NewsLink &L,
+void GossipNode::Impl::acceptConfirmation(MonoTime Now, const GossipLink &L,
                                    const PeerHeartbeat &M) {
-  if (M.KnownAgeMs_ == PeerHeartbeat::NeverKnown)
+  if (M.StateAgeMs_ == PeerHeartbeat::UnknownAgeMs)
     return;
-  Version Ours = Routing_ ? Routing_->Version_ : 0;
-  if (Ours < M.Routing_ || List_.through() < M.Through_)
-    return; // it speaks of more than what is known here
-  if (Now - L.sentAt(M.Echo_) > ClaimWithin) {
-    ++Counters_.StaleClaims_;
+  Version OwnVersion = Routing_ ? Routing_->Version_ : 0;
+  if (OwnVersion < M.Routing_ || List_.through() < M.Through_)
+    return; // the peer has newer state than this balancer
+  if (Now - L.sentAt(M.EchoedSequence_) > MaxEchoAge) {
+    ++Counters_.StaleConfirmations_;
     return;
   }
-  MonoTime AsOf = Now - std::chrono::milliseconds(M.KnownAgeMs_);
-  if (M.ReaderAgeMs_ != PeerHeartbeat::NeverKnown)
-    noteReader(M.Reader_, Now - std::chrono::milliseconds(M.ReaderAgeMs_), Now);
+  MonoTime AsOf = Now - std::chrono::milliseconds(M.StateAgeMs_);
+  if (M.ReaderAgeMs_ != PeerHeartbeat::UnknownAgeMs)
+    noteReader(M.ReaderScore_, Now - std::chrono::milliseconds(M.ReaderAgeMs_), Now);
   confirm(Now, AsOf);
-  // Told at once: word of a better reader that waits at each hop for the next
-  // confirmation is out of date after three, and two go on reading.
-  if (Reader_.Score_ < ToldReader_)
-    beatAll(Now);
+  // Sent at once: a lower reader score that waited for the next confirmation at
+  // each hop would expire after three hops, and two balancers would go on
+  // reading.
+  if (FirstReader_.Score_ < AnnouncedReader_)
+    sendHeartbeats(Now);
 }
 
-void NewsExchange::Impl::noteReader(std::uint64_t Score, MonoTime At,
+void GossipNode::Impl::noteReader(std::uint64_t Score, MonoTime At,
                                     MonoTime Now) {
-  Reader_.note(Score, At, Now, ReadAfter);
-  if (Reader_.Score_ < Score_)
-    Reading_ = false;
+  FirstReader_.update(Score, At, Now, TakeoverAge);
+  if (FirstReader_.Score_ < Score_)
+    IsReader_ = false;
 }
 
-void NewsExchange::Impl::noteLiving(MonoTime Now, std::uint64_t Score,
+void GossipNode::Impl::noteAlive(MonoTime Now, std::uint64_t Score,
                                     MonoTime At) {
-  bool OthersBefore = Living_.Score_ < Score_;
-  Living_.note(Score, At, Now, SilentAfter);
-  if (OthersBefore && Living_.Score_ >= Score_)
-    FirstSince_ = Now;
+  bool OthersFirst = FirstAlive_.Score_ < Score_;
+  FirstAlive_.update(Score, At, Now, LinkTimeout);
+  if (OthersFirst && FirstAlive_.Score_ >= Score_)
+    FirstAliveSince_ = Now;
 }
 
-/// Word of the first that lives counts if it was provably said a moment ago: a
-/// balancer that is cut off, alone or with others, must not wait for it.
-void NewsExchange::Impl::takeLiving(MonoTime Now, const NewsLink &L,
+/// A reported sign of life counts only if the echo proves the message recent:
+/// balancers on the other side of a network partition must not wait for it.
+void GossipNode::Impl::acceptFirstAlive(MonoTime Now, const GossipLink &L,
                                     const PeerHeartbeat &M) {
-  bool Recent = Now - L.sentAt(M.Echo_) <= ClaimWithin;
+  bool Recent = Now - L.sentAt(M.EchoedSequence_) <= MaxEchoAge;
   if (!Recent || M.Leaving_)
     return;
-  noteLiving(Now, detail::readScore(M.Sender_.Name_), Now);
-  if (M.LivingAgeMs_ != PeerHeartbeat::NeverKnown)
-    noteLiving(Now, M.Living_, Now - std::chrono::milliseconds(M.LivingAgeMs_));
-  // Passed on at once: waiting at each hop for the next heartbeat, it would be
-  // too old after three.
-  bool Fresher = Living_.At_ - ToldLivingAt_ > TellLivingAfter;
-  if (Fresher && !Members_.hearsOfAll())
-    beatAll(Now);
+  noteAlive(Now, detail::readerScore(M.Sender_.Name_), Now);
+  if (M.FirstAliveAgeMs_ != PeerHeartbeat::UnknownAgeMs)
+    noteAlive(Now, M.FirstAliveScore_, Now - std::chrono::milliseconds(M.FirstAliveAgeMs_));
+  // Forwarded at once: if it waited for the next heartbeat at each hop, it
+  // would expire after three hops.
+  bool Fresher = FirstAlive_.At_ - AnnouncedAliveAt_ > AliveUpdateStep;
+  if (Fresher && !Members_.tracksAllMembers())
+    sendHeartbeats(Now);
 }
 
-void NewsExchange::Impl::confirm(MonoTime Now, MonoTime AsOf) {
-  if (AsOf <= KnownAsOf_)
+void GossipNode::Impl::confirm(MonoTime Now, MonoTime AsOf) {
+  if (AsOf <= ConfirmedAsOf_)
     return;
-  KnownAsOf_ = AsOf;
+  ConfirmedAsOf_ = AsOf;
   Hooks_.OnConfirmed_(AsOf);
-  if (KnownAsOf_ - ToldAsOf_ > TellAfter)
-    beatAll(Now);
+  if (ConfirmedAsOf_ - AnnouncedAsOf_ > ConfirmationStep)
+    sendHeartbeats(Now);
 }
 
-void NewsExchange::Impl::askIfBehind(MonoTime Now, LinkId Which,
+void GossipNode::Impl::requestIfBehind(MonoTime Now, LinkId Link,
                                      const PeerHeartbeat &M) {
-  Version Ours = Routing_ ? Routing_->Version_ : 0;
-  bool Behind = Ours < M.Routing_ || List_.through() < M.Through_;
-  NewsLink &L = Links_[Which];
+  Version OwnVersion = Routing_ ? Routing_->Version_ : 0;
+  bool Behind = OwnVersion < M.Routing_ || List_.through() < M.Through_;
+  GossipLink &L = Links_[Link];
   L.PeerParts_ = M.Through_ == 0 ? M.Parts_ : allParts();
-  L.PeerListed_ = M.Listed_;
-  if (startsByParts(L))
-    return askForParts(Now, Which);
-  bool WantsEnded = EndedAnswers_ < AskedForEnded && !L.AskedEnded_ &&
+  L.PeerUpstreamCount_ = M.UpstreamCount_;
+  if (startsFromParts(L))
+    return requestParts(Now, Link);
+  bool IncludeEnded = EndedResponses_ < MaxEndedRequests && !L.RequestedEnded_ &&
                     detail::isEnabled(detail::Mechanism::EndedUpstreams);
-  if ((!Behind && !WantsEnded) || Now < AskAgainAt_)
+  if ((!Behind && !IncludeEnded) || Now < NextRequestAt_)
     return;
-  AskAgainAt_ = Now + AnswerWithin;
-  L.AskedAt_ = Now;
-  L.AskedEnded_ = L.AskedEnded_ || WantsEnded;
-  L.Questions_.push_back(WantsEnded);
+  NextRequestAt_ = Now + RequestTimeout;
+  L.RequestedAt_ = Now;
+  L.RequestedEnded_ = L.RequestedEnded_ || IncludeEnded;
+  L.PendingRequests_.push_back(IncludeEnded);
   Hooks_.Send_(
-      Which,
-      NewsWanted{Ours, List_.through(), WantsEnded, {}, digestsToSend()});
+      Link,
+      StateRequest{OwnVersion, List_.through(), IncludeEnded, {}, requestDigests()});
 }
 
-void NewsExchange::Impl::take(MonoTime Now, LinkId Which, const NewsWanted &M) {
-  News Answer;
-  Answer.KnownAgeMs_ = knownAgeMs(Now);
+void GossipNode::Impl::handle(MonoTime Now, LinkId Link, const StateRequest &M) {
+  StateUpdate Response;
+  Response.StateAgeMs_ = stateAgeMs(Now);
   if (Routing_ && Routing_->Version_ > M.Routing_)
-    Answer.Routing_ = Routing_;
-  Answer.Parts_ = M.Parts_ & partsHere();
+    Response.Routing_ = Routing_;
+  Response.Parts_ = M.Parts_ & heldParts();
   if (M.Parts_.any())
-    Answer.Upstreams_ = List_.entriesIn(M.Parts_);
+    Response.Upstreams_ = List_.entriesIn(M.Parts_);
   else if (M.Digests_)
-    Answer.Upstreams_ = List_.diffByDigests(*M.Digests_);
+    Response.Upstreams_ = List_.diffByDigests(*M.Digests_);
   else
-    Answer.Upstreams_ = List_.changesSince(M.Through_);
-  Answer.Evacuations_ = Evacuations_.all();
-  if (M.Ended_)
-    Answer.Upstreams_.Ended_ = List_.ended();
-  ++Counters_.NewsSent_;
-  Hooks_.Send_(Which, Answer);
+    Response.Upstreams_ = List_.changesSince(M.Through_);
+  Response.Evacuations_ = Evacuations_.all();
+  if (M.IncludeEnded_)
+    Response.Upstreams_.Ended_ = List_.ended();
+  ++Counters_.UpdatesSent_;
+  Hooks_.Send_(Link, Response);
 }
 
-void NewsExchange::Impl::take(MonoTime Now, LinkId Which, const News &M) {
-  ++Counters_.NewsTaken_;
-  if (Links_[Which].takeAnswer())
-    ++EndedAnswers_;
+void GossipNode::Impl::handle(MonoTime Now, LinkId Link, const StateUpdate &M) {
+  ++Counters_.UpdatesReceived_;
+  if (Links_[Link].popRequest())
+    ++EndedResponses_;
   if (M.Parts_.any())
-    return takeParts(Now, Which, M);
-  AskAgainAt_ = Now;
+    return handleParts(Now, Link, M);
+  NextRequestAt_ = Now;
   if (!apply(Now, M.Routing_, M.Upstreams_, M.Evacuations_)) {
-    ++Counters_.Gaps_; // the next heartbeat shows that we are behind
+    ++Counters_.RevisionGaps_; // the next heartbeat triggers another request
     return;
   }
-  // The answer was made after the question was sent.
-  bool Proved = Now - Links_[Which].AskedAt_ <= ClaimWithin;
-  if (Proved && M.KnownAgeMs_ != PeerHeartbeat::NeverKnown)
-    confirm(Now, Now - std::chrono::milliseconds(M.KnownAgeMs_));
-  beatAll(Now);
+  // The response was made after the request was sent.
+  bool Recent = Now - Links_[Link].RequestedAt_ <= MaxEchoAge;
+  if (Recent && M.StateAgeMs_ != PeerHeartbeat::UnknownAgeMs)
+    confirm(Now, Now - std::chrono::milliseconds(M.StateAgeMs_));
+  sendHeartbeats(Now);
 }
 
-void NewsExchange::Impl::take(MonoTime Now, LinkId Which,
+void GossipNode::Impl::handle(MonoTime Now, LinkId Link,
                               const UpstreamWarning &M) {
-  if (tell(Now, M, &Which))
+  if (forwardWarning(Now, M, &Link))
     Hooks_.OnWarning_(M);
 }
 
-/// Sends a warning on every link but the one it came from; false when it went
-/// through here a moment ago.
-bool NewsExchange::Impl::tell(MonoTime Now, const UpstreamWarning &M,
+/// Sends a warning on all links except its source. Returns false if it was sent
+/// recently or its kind has reached its limit.
+bool GossipNode::Impl::forwardWarning(MonoTime Now, const UpstreamWarning &M,
                               const LinkId *From) {
-  auto Known = Told_.find(M);
-  bool Repeated = Known != Told_.end() && Now < Known->second;
+  auto Known = RecentWarnings_.find(M);
+  bool Repeated = Known != RecentWarnings_.end() && Now < Known->second;
   auto SameKind = [&M](const auto &Item) {
     return Item.first.Kind_ == M.Kind_;
   };
-  auto Told = std::count_if(Told_.begin(), Told_.end(), SameKind);
+  auto SameKindCount = std::count_if(RecentWarnings_.begin(), RecentWarnings_.end(), SameKind);
   if (!detail::isEnabled(detail::Mechanism::PeerWarnings) || Repeated ||
-      static_cast<std::size_t>(Told) >= MaxWarnings)
+      static_cast<std::size_t>(SameKindCount) >= MaxWarningsPerInterval)
     return false;
-  Told_[M] = Now + WarnAgainAfter;
-  for (const auto &[Which, L] : Links_) {
-    if (From && *From == Which)
+  RecentWarnings_[M] = Now + WarningInterval;
+  for (const auto &[Link, L] : Links_) {
+    if (From && *From == Link)
       continue;
     ++Counters_.WarningsSent_;
-    Hooks_.Send_(Which, M);
+    Hooks_.Send_(Link, M);
   }
   return true;
 }
 
-bool NewsExchange::Impl::apply(MonoTime Now, const RoutingTablePtr &Routing,
+bool GossipNode::Impl::apply(MonoTime Now, const RoutingTablePtr &Routing,
                                const UpstreamBatch &Upstreams,
                                const EvacuationBatch &Evacuations) {
   if (Routing && (!Routing_ || Routing->Version_ > Routing_->Version_)) {
@@ -215,156 +217,156 @@
   bool First = List_.through() == 0;
   if (!List_.apply(Upstreams, Changes))
     return false;
-  // Before the upstreams are told: openings that wait for these must not go to
-  // a hall that is evacuated by the same answer. Not where changes are missing:
-  // upstreams of a hall that is taken back may have turned cold.
+  // Evacuations come before upstreams, so that waiting openings don't go to a
+  // hall that the same update evacuates. They aren't applied if changes are
+  // missing: upstreams of a hall whose evacuation ended may be cold again.
   applyEvacuations(Evacuations);
-  bool Away = !First && Now - KnownAsOf_ > AwayAfter;
+  bool Outage = !First && Now - ConfirmedAsOf_ > OutageAge;
   if (First || !Changes.empty())
-    Hooks_.OnUpstreams_(Changes, Away);
+    Hooks_.OnUpstreams_(Changes, Outage);
   return true;
 }
 
-void NewsExchange::Impl::applyEvacuations(const EvacuationBatch &Batch) {
+void GossipNode::Impl::applyEvacuations(const EvacuationBatch &Batch) {
   std::vector<EvacuationChange> Changes;
   Evacuations_.apply(Batch, Changes);
   if (!Changes.empty() && Hooks_.OnEvacuations_)
     Hooks_.OnEvacuations_(Changes);
 }
 
-void NewsExchange::Impl::readStale(MonoTime Now, const IntentAnswer &Answer) {
-  ListParts Parts = Answer.Parts_.value_or(allParts());
-  bool Missing = bringsParts(Parts);
-  apply(Now, Answer.Routing_, Missing ? Answer.Batch_ : UpstreamBatch{},
-        Answer.Evacuations_);
+void GossipNode::Impl::staleListRead(MonoTime Now, const ConfigResponse &Response) {
+  ListParts Parts = Response.Parts_.value_or(allParts());
+  bool Missing = hasMissingParts(Parts);
+  apply(Now, Response.Routing_, Missing ? Response.Batch_ : UpstreamBatch{},
+        Response.Evacuations_);
   addParts(Now, Parts);
 }
 
-bool NewsExchange::Impl::readDone(MonoTime Now, const IntentAnswer &Answer,
+bool GossipNode::Impl::readSucceeded(MonoTime Now, const ConfigResponse &Response,
                                   MonoTime AsOf) {
   Revision Before = List_.through();
-  if (!apply(Now, Answer.Routing_, Answer.Batch_, Answer.Evacuations_))
+  if (!apply(Now, Response.Routing_, Response.Batch_, Response.Evacuations_))
     return false;
-  // Else those that start together all go on reading until they hear of a
-  // better reader.
-  if (!EverRead_)
-    ReadAgainFrom_ = Now + PeersWithin;
-  EverRead_ = true;
+  // Otherwise balancers that start together all keep reading until they hear of
+  // a reader with a lower score.
+  if (!HasRead_)
+    ReadPauseUntil_ = Now + FirstReadPause;
+  HasRead_ = true;
   noteReader(Score_, Now, Now);
-  Reading_ = Reader_.Score_ == Score_;
+  IsReader_ = FirstReader_.Score_ == Score_;
   confirm(Now, AsOf);
   if (List_.through() != Before)
-    beatAll(Now);
+    sendHeartbeats(Now);
   return true;
 }
 
-FleetView NewsExchange::Impl::fleetView(MonoTime Now) const {
+FleetView GossipNode::Impl::fleetView(MonoTime Now) const {
   FleetView View;
   View.SelfHash_ = Score_;
   for (const Member &M : Members_.all())
-    View.PeerHashes_.push_back(detail::readScore(M.Name_));
+    View.PeerHashes_.push_back(detail::readerScore(M.Name_));
   View.EstimatedSize_ = fleetSize();
-  View.Settled_ = !Leaving_ && Now - PresentSince_ >= ArrivedWithin;
+  View.Settled_ = !Leaving_ && Now - RunningSince_ >= RecentStartAge;
   return View;
 }
 
-/// A list takes so long that knowledge grows old meanwhile: without word of it
-/// all those next in the order would list, too.
-void NewsExchange::Impl::readingList(MonoTime Now) {
-  if (KnownAsOf_ == MonoTime{})
+/// Announces this reader before a list read: it takes so long that the state
+/// ages meanwhile, and the next ranks would read the list too.
+void GossipNode::Impl::listReadStarted(MonoTime Now) {
+  if (ConfirmedAsOf_ == MonoTime{})
     return;
   noteReader(Score_, Now, Now);
-  beatAll(Now);
+  sendHeartbeats(Now);
 }
 
-MonoTime NewsExchange::Impl::readFrom() const {
-  bool ReadsAnyway = !detail::isEnabled(detail::Mechanism::SingleReader);
-  if (ReadsAnyway || Reading_)
-    return ReadAgainFrom_;
-  if (KnownAsOf_ == MonoTime{}) { // peers are about to tell
-    auto Place = static_cast<Micros::rep>(Members_.placeOf(Score_));
-    return std::max(ReadAgainFrom_, PresentSince_ + StartStep * Place);
+MonoTime GossipNode::Impl::nextReadAt() const {
+  bool AlwaysReads = !detail::isEnabled(detail::Mechanism::SingleReader);
+  if (AlwaysReads || IsReader_)
+    return ReadPauseUntil_;
+  if (ConfirmedAsOf_ == MonoTime{}) { // peers may still send the state
+    auto Rank = static_cast<Micros::rep>(Members_.rankOf(Score_));
+    return std::max(ReadPauseUntil_, RunningSince_ + StartupReadStep * Rank);
   }
-  bool OtherReads = Reader_.Score_ < Score_;
-  MonoTime ToldAt = OtherReads ? std::max(KnownAsOf_, Reader_.At_) : KnownAsOf_;
-  return std::max(ReadAgainFrom_, turnToRead(ToldAt));
+  bool OtherReads = FirstReader_.Score_ < Score_;
+  MonoTime ConfirmedAt = OtherReads ? std::max(ConfirmedAsOf_, FirstReader_.At_) : ConfirmedAsOf_;
+  return std::max(ReadPauseUntil_, takeoverTime(ConfirmedAt));
 }
 
-/// When a balancer should read that was told something new at \p ToldAt last.
-/// Its place in the order counts while one before it lives, so that those had
-/// their turn. In a part of the fleet that is cut off from them its own members
-/// read: within a rule's bound, whatever their places in the whole fleet.
-MonoTime NewsExchange::Impl::turnToRead(MonoTime ToldAt) const {
-  std::size_t Place = Members_.placeOf(Score_);
-  if (Place == 0)
-    return KnownAsOf_;
-  MonoTime From = ToldAt + ReadAfter;
+/// Returns when to read if the state or the reader was last confirmed at
+/// \p ConfirmedAt. The rank counts while a balancer with a lower score is
+/// alive. In a network partition without one, members read within a bound that
+/// doesn't depend on their ranks.
+MonoTime GossipNode::Impl::takeoverTime(MonoTime ConfirmedAt) const {
+  std::size_t Rank = Members_.rankOf(Score_);
+  if (Rank == 0)
+    return ConfirmedAsOf_;
+  MonoTime From = ConfirmedAt + TakeoverAge;
   if (Links_.empty())
     return From;
-  bool FirstHere = Living_.Score_ >= Score_ && !Members_.hearsOfAll();
-  if (FirstHere)
-    return std::max(From, FirstSince_ + cutOffSpread());
-  std::size_t Steps = Members_.hearsOfAll() ? std::min(Place, FewSteps) : Place;
-  return From + ReadStep * static_cast<Micros::rep>(Steps);
+  bool FirstInPartition = FirstAlive_.Score_ >= Score_ && !Members_.tracksAllMembers();
+  if (FirstInPartition)
+    return std::max(From, FirstAliveSince_ + partitionJitter());
+  std::size_t Steps = Members_.tracksAllMembers() ? std::min(Rank, MaxTakeoverSteps) : Rank;
+  return From + TakeoverStep * static_cast<Micros::rep>(Steps);
 }
 
-/// Keeps those apart that hear in the same moment of none before them.
-Micros NewsExchange::Impl::cutOffSpread() const {
+/// Spreads the reads of members that lose the lower scores at the same time.
+Micros GossipNode::Impl::partitionJitter() const {
   auto Share = std::ldexp(static_cast<double>(Score_), -64);
   return Micros(static_cast<Micros::rep>(
-      Share * static_cast<double>(CutOffSpread.count())));
+      Share * static_cast<double>(PartitionJitter.count())));
 }
 
-NewsCounters NewsExchange::Impl::counters() const {
-  NewsCounters Result = Counters_;
+GossipCounters GossipNode::Impl::counters() const {
+  GossipCounters Result = Counters_;
   Result.Links_ = Links_.size();
   Result.Members_ = Members_.size();
   return Result;
 }
 
-NewsExchange::NewsExchange(NewsOptions Options, NewsHooks Hooks)
+GossipNode::GossipNode(GossipOptions Options, GossipHooks Hooks)
     : Impl_(std::make_unique<Impl>(std::move(Options), std::move(Hooks))) {}
-NewsExchange::~NewsExchange() = default;
-void NewsExchange::opened(MonoTime Now, LinkId Link, bool OpenedHere) {
-  Impl_->opened(Now, Link, OpenedHere);
+GossipNode::~GossipNode() = default;
+void GossipNode::opened(MonoTime Now, LinkId Link, bool Outbound) {
+  Impl_->opened(Now, Link, Outbound);
 }
-void NewsExchange::closed(MonoTime Now, LinkId Link) {
+void GossipNode::closed(MonoTime Now, LinkId Link) {
   Impl_->closed(Now, Link);
 }
-void NewsExchange::connectFailed(MonoTime Now, const Endpoint &Control) {
+void GossipNode::connectFailed(MonoTime Now, const Endpoint &Control) {
   Impl_->connectFailed(Now, Control);
 }
-void NewsExchange::received(MonoTime Now, LinkId Link, const NewsMessage &M) {
+void GossipNode::received(MonoTime Now, LinkId Link, const GossipMessage &M) {
   Impl_->received(Now, Link, M);
 }
-bool NewsExchange::readDone(MonoTime Now, const IntentAnswer &Answer,
+bool GossipNode::readSucceeded(MonoTime Now, const ConfigResponse &Response,
                             MonoTime AsOf) {
-  return Impl_->readDone(Now, Answer, AsOf);
+  return Impl_->readSucceeded(Now, Response, AsOf);
 }
-void NewsExchange::warn(MonoTime Now, const UpstreamWarning &M) {
+void GossipNode::warn(MonoTime Now, const UpstreamWarning &M) {
   Impl_->warn(Now, M);
 }
-void NewsExchange::readFailed() { Impl_->readFailed(); }
-void NewsExchange::readingList(MonoTime Now) { Impl_->readingList(Now); }
-void NewsExchange::readStale(MonoTime Now, const IntentAnswer &Answer) {
-  Impl_->readStale(Now, Answer);
+void GossipNode::readFailed() { Impl_->readFailed(); }
+void GossipNode::listReadStarted(MonoTime Now) { Impl_->listReadStarted(Now); }
+void GossipNode::staleListRead(MonoTime Now, const ConfigResponse &Response) {
+  Impl_->staleListRead(Now, Response);
 }
-void NewsExchange::setLeaving(MonoTime Now) { Impl_->setLeaving(Now); }
-void NewsExchange::setSeeds(std::vector<Endpoint> Seeds) {
+void GossipNode::setLeaving(MonoTime Now) { Impl_->setLeaving(Now); }
+void GossipNode::setSeeds(std::vector<Endpoint> Seeds) {
   Impl_->setSeeds(std::move(Seeds));
 }
-void NewsExchange::tick(MonoTime Now) { Impl_->tick(Now); }
-MonoTime NewsExchange::readFrom() const { return Impl_->readFrom(); }
-Revision NewsExchange::through() const { return Impl_->through(); }
-MonoTime NewsExchange::knownAsOf() const { return Impl_->knownAsOf(); }
-std::size_t NewsExchange::fleetSize() const { return Impl_->fleetSize(); }
-FleetView NewsExchange::fleetView(MonoTime Now) const {
+void GossipNode::tick(MonoTime Now) { Impl_->tick(Now); }
+MonoTime GossipNode::nextReadAt() const { return Impl_->nextReadAt(); }
+Revision GossipNode::through() const { return Impl_->through(); }
+MonoTime GossipNode::confirmedAsOf() const { return Impl_->confirmedAsOf(); }
+std::size_t GossipNode::fleetSize() const { return Impl_->fleetSize(); }
+FleetView GossipNode::fleetView(MonoTime Now) const {
   return Impl_->fleetView(Now);
 }
-bool NewsExchange::hallIsLost(MonoTime Now) const {
-  return Impl_->hallIsLost(Now);
+bool GossipNode::isDataHallLost(MonoTime Now) const {
+  return Impl_->isDataHallLost(Now);
 }
-NewsCounters NewsExchange::counters() const { return Impl_->counters(); }
-std::vector<PeerStatus> NewsExchange::peers() const { return Impl_->peers(); }
+GossipCounters GossipNode::counters() const { return Impl_->counters(); }
+std::vector<MemberStatus> GossipNode::peers() const { return Impl_->peers(); }
 
 } // namespace thymewall
--- a/test/fleet-start-test.cc
+++ b/test/fleet-start-test.cc
@@ -1,5 +1,5 @@
-// What a fleet that starts at once asks of the configuration service and of its
-// members: nothing of it grows with balancers times upstreams.
+// Load on the configuration service and on members when a fleet starts at once:
+// it must not grow with the product of balancers and upstreams.
 #include "news-fleet.h"
 #include "peer-choice.h"
 #include "thymewall/list-parts.h"
@@ -14,13 +14,14 @@
 
 namespace {
 
-constexpr std::size_t UpstreamsOfEach = 30; ///< For each balancer.
+constexpr std::size_t UpstreamsPerBalancer = 30;
 
-/// A fleet that has lost everything it knew, and starts at 3 s.
-class Starting {
+/// A fleet that starts at 3 s without any state.
+class StartingFleet {
 public:
-  explicit Starting(std::size_t Balancers, std::size_t Each = UpstreamsOfEach)
-      : Fleet_(Balancers, 5), Upstreams_(Balancers * Each) {
+  explicit StartingFleet(std::size_t Balancers,
+                         std::size_t PerBalancer = UpstreamsPerBalancer)
+      : Fleet_(Balancers, 5), Upstreams_(Balancers * PerBalancer) {
     for (std::size_t Which = 0; Which < Balancers; ++Which)
       Fleet_.kill(Which);
     for (std::uint64_t I = 1; I <= Upstreams_; ++I) {
@@ -38,7 +39,7 @@
       Fleet_.restart(Which);
   }
   std::size_t served() const { return Fleet_.upstreamsServed() - Before_; }
-  /// How many balancers know at least this share of all upstreams.
+  /// Number of balancers that know at least this share of all upstreams.
   std::size_t knowing(double Share) const {
     auto All = static_cast<double>(Upstreams_);
     std::size_t Count = 0;
@@ -46,18 +47,18 @@
       Count += static_cast<double>(Fleet_.listed(Which)) >= Share * All;
     return Count;
   }
-  NewsFleet &fleet() { return Fleet_; }
+  GossipFleet &fleet() { return Fleet_; }
 
 private:
-  NewsFleet Fleet_;
+  GossipFleet Fleet_;
   std::size_t Upstreams_;
   std::size_t Before_ = 0;
 };
 
-/// The last members in the order of readers.
+/// Returns the members with the highest reader scores.
 std::vector<std::size_t> lastReaders(std::size_t Balancers, std::size_t Count) {
   auto Score = [](std::size_t Which) {
-    return detail::readScore("lb-" + std::to_string(Which));
+    return detail::readerScore("lb-" + std::to_string(Which));
   };
   std::vector<std::size_t> Order(Balancers);
   std::iota(Order.begin(), Order.end(), 0U);
@@ -69,49 +70,51 @@
 
 } // namespace
 
-TEST_CASE("what a start reads does not grow with the list, and nobody is told "
-          "a part of it twice") {
+TEST_CASE("the reads of a start do not grow with the list, and no part is sent "
+          "twice") {
   for (std::size_t Balancers : {std::size_t{80}, std::size_t{160}}) {
     CAPTURE(Balancers);
-    Starting S(Balancers);
+    StartingFleet S(Balancers);
     S.start();
     S.fleet().run(3s + 250ms);
-    // Parts until there are 64: the last one may go beyond by its own size.
-    std::size_t List = Balancers * UpstreamsOfEach;
-    std::size_t Read = PartsReading::LeastAtStart + 2 * List / ListPartCount;
+    // Reading stops at 64 upstreams, at most one part later.
+    std::size_t List = Balancers * UpstreamsPerBalancer;
+    std::size_t Read =
+        PartReadPlan::MinUpstreamsAtStart + 2 * List / ListPartCount;
     CHECK(S.served() <= Balancers * Read);
-    CHECK(S.knowing(0.01) == Balancers); // all have some to open flows by
+    CHECK(S.knowing(0.01) == Balancers); // all can open flows
     S.fleet().run(4s);
-    CHECK(S.served() <= Balancers * Read + 3 * List); // the seeds' whole lists
+    CHECK(S.served() <= Balancers * Read + 3 * List); // full lists of the seeds
     CHECK(S.knowing(1.0) == Balancers);
     Revision R = S.fleet().publish();
     S.fleet().run(6s);
     CHECK(S.fleet().allKnow(R));
-    std::size_t Told = 0;
+    std::size_t Received = 0;
     for (std::size_t Which = 0; Which < Balancers; ++Which)
-      Told += S.fleet().upstreamsTold(Which);
-    // A tenth more for what changes meanwhile.
-    CHECK(Told <= Balancers * List * 11 / 10);
+      Received += S.fleet().upstreamsReceived(Which);
+    // A tenth more for changes meanwhile.
+    CHECK(Received <= Balancers * List * 11 / 10);
   }
 }
 
-TEST_CASE("links of every balancer stay few, also a seed's") {
+TEST_CASE("the links of every balancer stay bounded, also for seeds") {
   for (std::size_t Balancers : {std::size_t{100}, std::size_t{400}}) {
     CAPTURE(Balancers);
-    Starting S(Balancers, 1);
+    StartingFleet S(Balancers, 1);
     S.start();
     S.fleet().run(5s);
     for (std::size_t Which = 3; Which < Balancers; ++Which)
-      CHECK(S.fleet().mostLinks(Which) <= 60);
+      CHECK(S.fleet().maxLinks(Which) <= 60);
     for (std::size_t Seed = 0; Seed < 3; ++Seed)
-      CHECK(S.fleet().news(Seed).counters().Links_ <= 60);
+      CHECK(S.fleet().gossip(Seed).counters().Links_ <= 60);
   }
 }
 
-TEST_CASE("a fleet whose third is turned away starts by its peers") {
-  Starting S(80);
+TEST_CASE(
+    "a fleet starts from its peers if the service refuses a third of it") {
+  StartingFleet S(80);
   for (std::size_t Which = 0; Which < 80; Which += 3)
-    S.fleet().setTurnedAway(Which, true);
+    S.fleet().setRefused(Which, true);
   S.start();
   S.fleet().run(4s);
   CHECK(S.knowing(0.9) == 80);
@@ -119,8 +122,8 @@
   CHECK(S.knowing(1.0) == 80);
 }
 
-TEST_CASE("an outage during the start makes nobody read the whole list") {
-  Starting S(80);
+TEST_CASE("an outage during the start makes no balancer read the full list") {
+  StartingFleet S(80);
   S.fleet().setServiceDown(true);
   S.start();
   S.fleet().run(6s);
@@ -134,99 +137,98 @@
 TEST_CASE("one balancer reads for a fleet that has started") {
   for (std::size_t Balancers : {std::size_t{80}, std::size_t{400}}) {
     CAPTURE(Balancers);
-    Starting S(Balancers, 1);
+    StartingFleet S(Balancers, 1);
     S.start();
     S.fleet().run(8s);
     std::size_t Calls = S.fleet().calls();
     S.fleet().run(18s);
-    // Its two calls a second, and a few of others.
+    // The reader makes two calls a second, others a few.
     CHECK(S.fleet().calls() - Calls <= 30);
   }
 }
 
-TEST_CASE("what a balancer tells in a second does not grow with the fleet") {
+TEST_CASE("the gossip traffic of a balancer does not grow with the fleet") {
   for (std::size_t Balancers : {std::size_t{80}, std::size_t{400}}) {
     CAPTURE(Balancers);
-    Starting S(Balancers, 1);
+    StartingFleet S(Balancers, 1);
     S.start();
     S.fleet().run(10s);
     std::size_t Before = S.fleet().bytesSent();
     S.fleet().run(20s);
     std::size_t Each = (S.fleet().bytesSent() - Before) / (10 * Balancers);
-    CHECK(Each <= 4500); // as many come in: 9 KB a second for control
+    CHECK(Each <= 4500); // as much is received: 9 KB a second for control
   }
 }
 
-TEST_CASE("the loss of the history costs a fleet few lists") {
-  Starting S(400, 1);
+TEST_CASE("a loss of the history costs a fleet few list reads") {
+  StartingFleet S(400, 1);
   S.start();
   S.fleet().run(10s);
-  // Changes that no watch tells, and then nobody can.
+  // Publishes a change that no watch returns before the history is lost.
   for (std::size_t Which = 0; Which < 400; ++Which)
-    S.fleet().setSilent(Which, true);
+    S.fleet().setUnresponsive(Which, true);
   S.fleet().run(11s);
   S.fleet().publish();
-  S.fleet().loseHistory(1200ms);
+  S.fleet().compactHistory(1200ms);
   for (std::size_t Which = 0; Which < 400; ++Which)
-    S.fleet().setSilent(Which, false);
+    S.fleet().setUnresponsive(Which, false);
   std::size_t Calls = S.fleet().calls();
   S.fleet().run(15s);
-  // Those whose turn came in the silent second, a watch and a list each, and
-  // the reader's two a second.
+  // A watch and a list for each member whose read was due in the outage, and
+  // two calls a second of the reader.
   CHECK(S.fleet().calls() - Calls <= 2 * 20 + 8);
   Revision R = S.fleet().publish();
   S.fleet().run(17s);
   CHECK(S.fleet().allKnow(R));
 }
 
-TEST_CASE("a part that is cut off from the others reads for itself in time") {
-  // Three find no link to each other soon; of the last forty in the order of
-  // readers the first has place 360.
+TEST_CASE("a network partition starts reading for itself in time") {
+  // Three members have no links to each other at first; the lowest of the last
+  // forty ranks is 360.
   for (std::size_t Part : {std::size_t{3}, std::size_t{40}}) {
     CAPTURE(Part);
     constexpr std::size_t Balancers = 400;
-    Starting S(Balancers, 1);
+    StartingFleet S(Balancers, 1);
     S.start();
     S.fleet().run(10s);
     std::vector<std::size_t> CutOff = lastReaders(Balancers, Part);
     for (std::size_t Which : CutOff)
       for (std::size_t Other = 0; Other < Balancers; ++Other)
         if (std::count(CutOff.begin(), CutOff.end(), Other) == 0)
-          S.fleet().setHeldUp(Which, Other, true);
+          S.fleet().setBlocked(Which, Other, true);
     S.fleet().run(11s);
     Revision R = S.fleet().publish();
-    S.fleet().run(16s); // 5 s, less than what a routing table may take here
+    S.fleet().run(16s); // 5 s, less than the limit for a routing table
     for (std::size_t Which : CutOff)
-      CHECK(S.fleet().news(Which).through() >= R);
+      CHECK(S.fleet().gossip(Which).through() >= R);
   }
 }
 
-TEST_CASE("while nobody reads, balancers try in turn, not all at once") {
-  // Nobody is served, and answers come late: the order of readers is long.
-  Starting S(200, 1);
+TEST_CASE("without a reader balancers take over by rank, not all at once") {
+  StartingFleet S(200, 1);
   S.start();
   S.fleet().run(8s);
   S.fleet().setServiceDown(true);
   std::size_t Calls = S.fleet().calls();
   S.fleet().run(11s);
-  // Knowledge is too old 1.5 s after the last answer; one a step since, with
-  // the calls that each repeats after its failure.
+  // Takeover starts 1.5 s after the last confirmation, with one more member per
+  // step, each with its retries.
   CHECK(S.fleet().calls() - Calls <= 60);
 }
 
-TEST_CASE("a part is read until there are enough upstreams") {
-  PartsReading Short(7);
-  Short.read(PartsReading::LeastInPart - 1);
+TEST_CASE("parts are read until there are enough upstreams") {
+  PartReadPlan Short(7);
+  Short.addPart(PartReadPlan::MinUpstreamsPerPart - 1);
   CHECK(Short.listIsShort());
-  PartsReading Long(7);
-  CHECK(Long.next() == 7);
-  while (!Long.enough()) {
-    Long.read(20);
+  PartReadPlan Long(7);
+  CHECK(Long.nextPart() == 7);
+  while (!Long.hasEnough()) {
+    Long.addPart(20);
     CHECK_FALSE(Long.listIsShort());
   }
   CHECK(Long.parts().count() == 4);
   CHECK(Long.parts().test(7));
-  PartsReading Empty(0);
-  Empty.read(0);
+  PartReadPlan Empty(0);
+  Empty.addPart(0);
   CHECK(Empty.listIsShort());
 }
--- a/test/news-fleet.h
+++ b/test/news-fleet.h
@@ -1,6 +1,6 @@
 /// \file
-/// A fleet of news exchanges and readers on virtual time, with a configuration
-/// service and links that lose contact. For tests.
+/// Test fleet of gossip nodes and config readers on virtual time, with a
+/// simulated configuration service, link failures and outages.
 #ifndef THYMEWALL_TEST_NEWS_FLEET_H
 #define THYMEWALL_TEST_NEWS_FLEET_H
 
@@ -13,7 +13,7 @@
 
 namespace thymewall::test {
 
-/// What a test runs on each member beside its news; all of it optional.
+/// Optional callbacks for what a test runs on each member.
 struct MemberHooks {
   using Upstreams = std::vector<UpstreamChange>;
 
@@ -25,72 +25,71 @@
   std::function<void(std::size_t Which, const std::vector<EvacuationChange> &)>
       OnEvacuations_;
   std::function<void(std::size_t Which, MonoTime AsOf)> OnConfirmed_;
-  std::function<void(std::size_t Which, MonoTime At)> OnArrival_;
+  std::function<void(std::size_t Which, MonoTime At)> OnPeerJoined_;
 };
 
-class NewsFleet {
+class GossipFleet {
 public:
-  explicit NewsFleet(std::size_t Count, std::size_t Halls = 3,
-                     MemberHooks Beside = {});
+  explicit GossipFleet(std::size_t Count, std::size_t Halls = 3,
+                       MemberHooks Hooks = {});
 
-  /// Runs to \p Until, in virtual time from the start.
+  /// Runs until the virtual time \p Until since the start.
   void run(Micros Until) { Events_.run(Until); }
-  /// Publishes a change: an upstream comes, or goes again. Gives its revision.
+  /// Publishes the start of an upstream, or the end of the last one, in turn.
+  /// Returns its revision.
   Revision publish();
-  /// Publishes an upstream as it is now; without an entry it has ended.
+  /// Publishes an upstream; without an entry it has ended.
   Revision publish(Incarnation Which,
                    const std::optional<UpstreamEntry> &Entry);
-  /// Publishes that a data hall is evacuated, or taken back.
+  /// Publishes the start or end of an evacuation.
   Revision publishEvacuation(const std::string &DataHall, bool Evacuated);
-  /// Publishes a routing table with the next version.
+  /// Publishes the routing table with the next version.
   Version publishRouting();
-  /// The same, with these addresses.
+  /// Publishes a routing table with the addresses of \p Table.
   Version publishRouting(const RoutingTable &Table);
 
-  // Troubles; each holds until it is set back.
-  void setAsleep(std::size_t Which, bool Asleep);
-  void setTurnedAway(std::size_t Which, bool TurnedAway);
-  /// Calls of the configuration service are never answered.
-  void setSilent(std::size_t Which, bool Silent);
-  /// Packets between two members are held up; they arrive when it ends.
-  void setHeldUp(std::size_t A, std::size_t B, bool HeldUp);
+  // Faults; each lasts until it is reset.
+  void setSuspended(std::size_t Which, bool Suspended);
+  void setRefused(std::size_t Which, bool Refused);
+  /// Calls of the configuration service get no response.
+  void setUnresponsive(std::size_t Which, bool Unresponsive);
+  /// Messages between two members are delayed until the fault ends.
+  void setBlocked(std::size_t A, std::size_t B, bool Blocked);
   void setServiceDown(bool Down) { ServiceDown_ = Down; }
-  /// Changes so far are no longer told by watches, and a list takes so long.
-  void loseHistory(Micros ListTakes) {
+  /// Makes watches from earlier revisions fail, and delays full lists.
+  void compactHistory(Micros ListDelay) {
     HistoryFrom_ = Log_.size();
-    ListTakes_ = ListTakes;
+    ListDelay_ = ListDelay;
   }
-  /// Stale lists are so old from now on.
-  void setStaleBy(Micros Age) { StaleBy_ = Age; }
+  /// Sets the age of stale lists.
+  void setStaleListAge(Micros Age) { StaleListAge_ = Age; }
   std::size_t staleCalls() const { return StaleCalls_; }
-  /// Upstreams in all answers of the configuration service.
+  /// Number of upstreams in all responses of the configuration service.
   std::size_t upstreamsServed() const { return UpstreamsServed_; }
-  /// Upstreams that peers have told a member since its start, and all links
-  /// that it has had at once.
-  std::size_t upstreamsTold(std::size_t Which) const {
-    return Nodes_[Which].UpstreamsTold_;
+  /// Number of upstreams that a member has received from peers since its start.
+  std::size_t upstreamsReceived(std::size_t Which) const {
+    return Nodes_[Which].UpstreamsReceived_;
   }
-  /// Bytes of messages that all members have sent.
+  /// Total size of gossip messages sent.
   std::size_t bytesSent() const { return BytesSent_; }
-  std::size_t mostLinks(std::size_t Which) const {
-    return Nodes_[Which].MostLinks_;
+  std::size_t maxLinks(std::size_t Which) const {
+    return Nodes_[Which].MaxLinks_;
   }
-  /// Upstreams that a member has been told of, by whomever.
+  /// Number of upstreams that a member knows.
   std::size_t listed(std::size_t Which) const {
     return Nodes_[Which].Listed_.size();
   }
-  /// Every open link, and every call under way, says nothing any more; new ones
-  /// work.
-  void silenceConnections();
+  /// Drops all traffic of open links and calls in flight; new ones work.
+  void blackholeConnections();
   void kill(std::size_t Which);
   void restart(std::size_t Which);
 
   Micros now() const { return Events_.now().time_since_epoch(); }
   std::size_t size() const { return Nodes_.size(); }
-  /// Calls but those for stale lists.
+  /// Number of calls, without those for stale lists.
   std::size_t calls() const { return Calls_; }
-  NewsExchange &news(std::size_t Which) { return *Nodes_[Which].News_; }
-  /// Warnings that a member had from peers.
+  GossipNode &gossip(std::size_t Which) { return *Nodes_[Which].Gossip_; }
+  /// Warnings that a member has received from peers.
   const std::vector<UpstreamWarning> &warnings(std::size_t Which) const {
     return Nodes_[Which].Warnings_;
   }
@@ -99,77 +98,81 @@
   const std::set<std::string> &evacuated(std::size_t Which) const {
     return Nodes_[Which].Evacuated_;
   }
-  /// Every living member, awake and not, has exactly these halls evacuated.
+  /// Whether every running member has exactly these halls evacuated.
   bool allEvacuated(const std::set<std::string> &Halls) const;
-  bool returning(std::size_t Which) const { return Nodes_[Which].MayReturn_; }
-  /// The member that made the last call.
+  bool mayReturn(std::size_t Which) const { return Nodes_[Which].MayReturn_; }
+  /// Returns the member that made the last call.
   std::size_t lastReader() const { return LastReader_; }
-  /// How far claimed knowledge was ever younger than true: the largest time by
-  /// which a member said to know something that it did not.
-  Micros worstClaim() const { return WorstClaim_; }
-  /// Every living member, awake and not, knows this.
+  /// Largest error of a confirmation: the time between the publication of a
+  /// change and a later time as of which a member confirmed its state without
+  /// it.
+  Micros worstConfirmationError() const { return WorstConfirmationError_; }
+  /// Whether every running member knows revision \p R.
   bool allKnow(Revision R) const;
 
 private:
   struct Node {
-    std::unique_ptr<NewsExchange> News_;
-    std::unique_ptr<IntentReader> Reader_;
+    std::unique_ptr<GossipNode> Gossip_;
+    std::unique_ptr<ConfigReader> Reader_;
     std::map<LinkId, std::pair<std::size_t, LinkId>> Links_;
-    std::set<LinkId> SilentLinks_;
-    MonoTime CallsSilentFrom_{}; ///< Calls begun before it get no answer.
-    std::vector<std::function<void()>> Held_; ///< While it is asleep.
+    std::set<LinkId> DeadLinks_;
+    MonoTime CallsLostBefore_{}; ///< Earlier calls get no response.
+    std::vector<std::function<void()>> Deferred_; ///< While suspended.
     std::vector<UpstreamWarning> Warnings_;
     std::set<std::string> Evacuated_;
     std::set<Incarnation> Listed_;
-    std::size_t UpstreamsTold_ = 0;
-    std::size_t MostLinks_ = 0;
+    std::size_t UpstreamsReceived_ = 0;
+    std::size_t MaxLinks_ = 0;
     Version Routing_ = 0;
-    std::uint64_t Life_ = 0; ///< Counts restarts.
+    std::uint64_t StartCount_ = 0; ///< Incremented at each start.
     bool Alive_ = true;
-    bool Asleep_ = false;
-    bool TurnedAway_ = false;
-    bool Silent_ = false;
+    bool Suspended_ = false;
+    bool Refused_ = false;
+    bool Unresponsive_ = false;
     bool MayReturn_ = false;
   };
   Member member(std::size_t Which) const;
   void start(std::size_t Which);
-  /// Does it on behalf of a member: later if it sleeps, never if it restarts.
-  void onNode(std::size_t Which, std::function<void()> Do);
-  NewsHooks hooks(std::size_t Which);
+  /// Runs \p Do on a member: deferred while it is suspended, dropped if it is
+  /// dead.
+  void runOnNode(std::size_t Which, std::function<void()> Do);
+  GossipHooks hooks(std::size_t Which);
   void connect(std::size_t From, const Endpoint &To);
   void deliver(std::size_t From, LinkId Link, const std::string &Bytes);
   void unlink(std::size_t Which, LinkId Link);
-  void review(std::size_t Which);
+  void pollReader(std::size_t Which);
   void tick(std::size_t Which);
-  void serve(std::size_t Which, const IntentCall &Call, MonoTime Began);
-  IntentAnswer answerNow(const IntentCall &Call) const;
-  EvacuationBatch evacuationsNow(const IntentCall &Call, Revision End) const;
-  void keepParts(const IntentCall &Call, IntentAnswer &A) const;
-  void take(std::size_t Which, const IntentAnswer &A);
-  void noteClaim(std::size_t Which, MonoTime AsOf);
+  void serve(std::size_t Which, const ConfigRequest &Request, MonoTime Began);
+  ConfigResponse currentResponse(const ConfigRequest &Request) const;
+  EvacuationBatch currentEvacuations(const ConfigRequest &Request,
+                                     Revision End) const;
+  void keepReadParts(const ConfigRequest &Request,
+                     ConfigResponse &Response) const;
+  void handleResponse(std::size_t Which, const ConfigResponse &Response);
+  void checkConfirmation(std::size_t Which, MonoTime AsOf);
 
   std::vector<Node> Nodes_;
   EventQueue Events_;
-  std::set<std::pair<std::size_t, std::size_t>> HeldUp_;
+  std::set<std::pair<std::size_t, std::size_t>> Blocked_;
   std::map<std::pair<std::size_t, std::size_t>,
            std::vector<std::function<void()>>>
-      HeldPackets_;
+      BlockedMessages_;
   std::vector<UpstreamChange> Log_; ///< Index I has revision I + 1.
   std::vector<MonoTime> PublishedAt_;
-  std::vector<EvacuationChange> HallLog_; ///< In the order of revisions.
-  RoutingTable Table_;                    ///< As it is published.
+  std::vector<EvacuationChange> EvacuationLog_; ///< In order of revisions.
+  RoutingTable Table_;                          ///< As published.
   Revision RoutingAt_ = 0;
   std::size_t Halls_;
-  MemberHooks Beside_;
+  MemberHooks MemberHooks_;
   std::uint64_t LastLink_ = 0;
   std::size_t Calls_ = 0;
   std::size_t LastReader_ = 0;
-  Micros WorstClaim_{};
+  Micros WorstConfirmationError_{};
   std::size_t StaleCalls_ = 0;
   std::size_t UpstreamsServed_ = 0;
   std::size_t BytesSent_ = 0;
-  Micros StaleBy_{0};
-  Micros ListTakes_{0};
+  Micros StaleListAge_{0};
+  Micros ListDelay_{0};
   Revision HistoryFrom_ = 0;
   bool ServiceDown_ = false;
 };
--- a/test/reading-turn-test.cc
+++ b/test/reading-turn-test.cc
@@ -1,5 +1,5 @@
-// When a balancer of a large fleet takes its turn to read the configuration
-// service: after all those before it, or in a part that is cut off from them.
+// When a balancer of a large fleet takes over reading the configuration
+// service: after all lower ranks, or soon in a network partition without them.
 #include "peer-choice.h"
 #include "thymewall/news.h"
 
@@ -19,44 +19,44 @@
 }
 
 std::uint64_t score(std::size_t Which) {
-  return detail::readScore(member(Which).Name_);
+  return detail::readerScore(member(Which).Name_);
 }
 
-/// The last but one in the order of 200 balancers, linked to the last one, by
-/// which a test speaks.
-class LateInOrder {
+/// A node with the last rank but one in a fleet of 200, linked to the last one.
+class LowRankReader {
 public:
-  LateInOrder() : Order_(order()) {
-    News_ = std::make_unique<NewsExchange>(
-        NewsOptions{member(Order_[Fleet - 2]), {}}, hooks());
-    News_->tick(at(0s));
-    News_->opened(at(0s), LinkId{1}, false);
-    IntentAnswer List;
-    List.Outcome_ = IntentAnswer::Outcome::Done;
+  LowRankReader() : Order_(order()) {
+    Gossip_ = std::make_unique<GossipNode>(
+        GossipOptions{member(Order_[Fleet - 2]), {}}, hooks());
+    Gossip_->tick(at(0s));
+    Gossip_->opened(at(0s), LinkId{1}, false);
+    ConfigResponse List;
+    List.Outcome_ = ConfigResponse::Outcome::Done;
     List.Batch_.Whole_ = true;
     List.Batch_.Through_ = 5;
-    News_->readDone(at(0s), List, at(0s));
+    Gossip_->readSucceeded(at(0s), List, at(0s));
   }
 
-  /// A heartbeat of the peer, which knows as much as is known up to \\p Known
-  /// and has heard of the first balancer as of \\p Living.
-  void beat(Micros Now, Micros Known, Micros Living) {
+  /// Receives a heartbeat of the peer: its state was confirmed at
+  /// \p ConfirmedAt, and the first balancer's last sign of life was at \p
+  /// AliveAt.
+  void heartbeat(Micros Now, Micros ConfirmedAt, Micros AliveAt) {
     PeerHeartbeat M;
     M.Sender_ = member(Order_.back());
     M.Through_ = 5;
-    M.KnownAgeMs_ = millis(Now - Known);
-    M.Reader_ = score(Order_.front());
-    M.ReaderAgeMs_ = millis(Now - Known);
-    M.Living_ = score(Order_.front());
-    M.LivingAgeMs_ = millis(Now - Living);
+    M.StateAgeMs_ = millis(Now - ConfirmedAt);
+    M.ReaderScore_ = score(Order_.front());
+    M.ReaderAgeMs_ = millis(Now - ConfirmedAt);
+    M.FirstAliveScore_ = score(Order_.front());
+    M.FirstAliveAgeMs_ = millis(Now - AliveAt);
     M.Sequence_ = ++Sequence_;
-    M.Echo_ = Heard_;
+    M.EchoedSequence_ = LastReceivedSequence_;
     for (std::size_t I = 0; I < Fleet - 2; ++I)
       M.Members_.push_back(member(Order_[I]));
-    News_->received(at(Now), LinkId{1}, M);
+    Gossip_->received(at(Now), LinkId{1}, M);
   }
 
-  std::unique_ptr<NewsExchange> News_;
+  std::unique_ptr<GossipNode> Gossip_;
 
 private:
   static constexpr std::size_t Fleet = 200;
@@ -72,11 +72,11 @@
               [](auto A, auto B) { return score(A) < score(B); });
     return Result;
   }
-  NewsHooks hooks() {
-    NewsHooks Hooks;
-    Hooks.Send_ = [this](LinkId, const NewsMessage &M) {
-      if (const auto *Beat = std::get_if<PeerHeartbeat>(&M))
-        Heard_ = Beat->Sequence_;
+  GossipHooks hooks() {
+    GossipHooks Hooks;
+    Hooks.Send_ = [this](LinkId, const GossipMessage &M) {
+      if (const auto *Heartbeat = std::get_if<PeerHeartbeat>(&M))
+        LastReceivedSequence_ = Heartbeat->Sequence_;
     };
     Hooks.Connect_ = [](const Endpoint &) {};
     Hooks.Close_ = [](LinkId) {};
@@ -88,47 +88,47 @@
   }
 
   std::vector<std::size_t> Order_;
-  std::uint64_t Heard_ = 0;
+  std::uint64_t LastReceivedSequence_ = 0;
   std::uint64_t Sequence_ = 0;
 };
 
 } // namespace
 
-TEST_CASE("while the first of the order lives, those after it take turns") {
-  LateInOrder L;
+TEST_CASE("higher ranks wait while the balancer of rank 0 is alive") {
+  LowRankReader L;
   for (Micros Now = 250ms; Now <= 8s; Now += 250ms) {
-    L.News_->tick(at(Now));
-    // Nobody is served from 1 s on, and the first says once a second it lives.
-    L.beat(Now, std::min<Micros>(Now, 1s), Now - Now % 1s);
-    CHECK(L.News_->readFrom() > at(Now));
+    L.Gossip_->tick(at(Now));
+    // No call succeeds after 1 s; the first balancer is alive once a second.
+    L.heartbeat(Now, std::min<Micros>(Now, 1s), Now - Now % 1s);
+    CHECK(L.Gossip_->nextReadAt() > at(Now));
   }
 }
 
-TEST_CASE("in a part that is cut off from the first, its members read soon") {
-  LateInOrder L;
+TEST_CASE("members of a network partition without rank 0 read soon") {
+  LowRankReader L;
   for (Micros Now = 250ms; Now <= 6s; Now += 250ms) {
-    L.News_->tick(at(Now));
-    L.beat(Now, std::min<Micros>(Now, 1s), std::min<Micros>(Now, 1s));
+    L.Gossip_->tick(at(Now));
+    L.heartbeat(Now, std::min<Micros>(Now, 1s), std::min<Micros>(Now, 1s));
   }
-  CHECK(L.News_->readFrom() <=
-        at(1s) + 3300ms); // 2.5 s of silence, 0.8 s spread
-  CHECK(L.News_->readFrom() >= at(1s) + 1500ms);
+  CHECK(L.Gossip_->nextReadAt() <=
+        at(1s) + 3300ms); // 2.5 s link timeout, 0.8 s jitter
+  CHECK(L.Gossip_->nextReadAt() >= at(1s) + 1500ms);
 }
 
-TEST_CASE("word of the first that may be old does not hold up a part") {
-  LateInOrder L;
+TEST_CASE("delayed signs of life do not delay reads in a network partition") {
+  LowRankReader L;
   for (Micros Now = 250ms; Now <= 1s; Now += 250ms) {
-    L.News_->tick(at(Now));
-    L.beat(Now, Now, Now);
+    L.Gossip_->tick(at(Now));
+    L.heartbeat(Now, Now, Now);
   }
-  // Held up since, and now arriving: they echo nothing recent.
+  // Delayed messages, which echo no recent heartbeat.
   PeerHeartbeat Late;
   Late.Sender_ = member(0);
-  Late.LivingAgeMs_ = 0;
-  Late.Echo_ = 1;
+  Late.FirstAliveAgeMs_ = 0;
+  Late.EchoedSequence_ = 1;
   for (Micros Now = 1250ms; Now <= 6s; Now += 250ms) {
-    L.News_->tick(at(Now));
-    L.News_->received(at(Now), LinkId{1}, Late);
+    L.Gossip_->tick(at(Now));
+    L.Gossip_->received(at(Now), LinkId{1}, Late);
   }
-  CHECK(L.News_->readFrom() <= at(1s) + 3300ms);
+  CHECK(L.Gossip_->nextReadAt() <= at(1s) + 3300ms);
 }
