--- a/bench/core-bench.cc
+++ b/bench/core-bench.cc
@@ -81,15 +81,15 @@
   void give(const Event &What) { Core_.handle(Now_, What, Sink_); }
   void open(std::uint64_t Flow) {
     Message M;
-    M.Kind_ = Kind::Open;
+    M.Kind_ = MessageKind::Open;
     M.Service_ = Index;
     M.Flow_ = FlowId{Flow};
     give(FromCaller{Caller, M, 200});
-    reply(Kind::Opened);
+    reply(MessageKind::Opened);
   }
   void request(std::uint64_t Flow, std::uint32_t Number, bool Repeatable) {
     Message M;
-    M.Kind_ = Kind::Request;
+    M.Kind_ = MessageKind::Request;
     M.Service_ = Index;
     M.Flow_ = FlowId{Flow};
     M.Request_ = Number;
@@ -97,15 +97,15 @@
     M.Route_ = Route_.bytes();
     give(FromCaller{Caller, M, 200});
   }
-  void reply(Kind K) {
+  void reply(MessageKind K) {
     Message M = Up_;
     M.Kind_ = K;
     M.Incarnation_ = Incarnation{5};
     give(FromUpstream{UpAt_, M});
   }
   void tick() {
-    Now_.Mono_ += Balancer::TickEvery;
-    Now_.Wall_ += Balancer::TickEvery;
+    Now_.Mono_ += Balancer::TickInterval;
+    Now_.Wall_ += Balancer::TickInterval;
     give(Tick{});
   }
   Status status() const { return Core_.status(); }
@@ -141,7 +141,7 @@
     D.open(1);
     double Both = nanoseconds(Rounds, [&](std::size_t I) {
       D.request(1, static_cast<std::uint32_t>(I + 1), Repeatable);
-      D.reply(Kind::Answer);
+      D.reply(MessageKind::Answer);
       if (I % TickAfter == 0)
         D.tick();
     });
@@ -152,10 +152,10 @@
 }
 
 void codec() {
-  std::uint8_t Buffer[MaxDatagram];
+  std::uint8_t Buffer[MaxDatagramSize];
   std::uint8_t Payload[128] = {};
   Message M;
-  M.Kind_ = Kind::Request;
+  M.Kind_ = MessageKind::Request;
   M.Flow_ = FlowId{0x123456789abcdef};
   M.Payload_ = {Payload, sizeof Payload};
   SealedRoute R = seal({}, Secret);
--- a/bench/data-path.cc
+++ b/bench/data-path.cc
@@ -70,9 +70,10 @@
     Message M;
     if (decode(Data, Size, M) != ErrorKind::None)
       return;
-    M.Kind_ = M.Kind_ == Kind::Open ? Kind::Opened : Kind::Answer;
+    M.Kind_ = M.Kind_ == MessageKind::Open ? MessageKind::Opened
+                                           : MessageKind::Answer;
     M.Incarnation_ = Incarnation{5};
-    std::uint8_t Buffer[MaxDatagram];
+    std::uint8_t Buffer[MaxDatagramSize];
     Socket_.send(From, Buffer, encode(M, Buffer, sizeof Buffer));
   }
   UdpSocket Socket_;
@@ -150,7 +151,7 @@
 
 private:
   void act(const Action &A) {
-    std::uint8_t Buffer[MaxDatagram + MaxHeader];
+    std::uint8_t Buffer[MaxDatagramSize + MaxHeaderSize];
     if (const auto *C = std::get_if<ToCaller>(&A))
       Front_.send(C->To_, Buffer, encode(C->Message_, Buffer, sizeof Buffer));
     else if (const auto *U = std::get_if<ToUpstream>(&A))
@@ -158,7 +159,7 @@
   }
   void tick() {
     Core_.handle(now(), Tick{}, Sink_);
-    Timer_.expires_after(Balancer::TickEvery);
+    Timer_.expires_after(Balancer::TickInterval);
     Timer_.async_wait([this](const asio::error_code &Error) {
       if (!Error)
         tick();
@@ -180,7 +181,7 @@
                 [this](const Endpoint &, const std::uint8_t *Data,
                        std::size_t Size) { receive(Data, Size); }),
         Timer_(Context) {
-    send(Kind::Open, 0);
+    send(MessageKind::Open, 0);
     watch();
   }
   std::uint64_t done() const { return Done_; }
@@ -199,12 +200,12 @@
     Message M;
     if (decode(Data, Size, M) != ErrorKind::None)
       return;
-    if (M.Kind_ == Kind::Opened || M.Kind_ == Kind::Open) {
+    if (M.Kind_ == MessageKind::Opened || M.Kind_ == MessageKind::Open) {
       if (Route_.Size_ != 0)
         return;
       // The bare relay brings no route back: the same bytes stand in.
       Route_ = seal({}, Secret);
-      if (M.Kind_ == Kind::Opened)
+      if (M.Kind_ == MessageKind::Opened)
         std::copy_n(M.Route_.Data_, M.Route_.Size_, Route_.Bytes_.begin());
       fill();
       return;
@@ -214,11 +215,11 @@
     auto Sent = SentAt_[M.Request_ % SentAt_.size()];
     if (Delays_.size() < MaxDelays)
       Delays_.push_back(std::chrono::duration_cast<Micros>(Last_ - Sent));
-    send(Kind::Request, ++Number_);
+    send(MessageKind::Request, ++Number_);
   }
   void fill() {
     for (std::size_t I = 0; I < Window_; ++I)
-      send(Kind::Request, ++Number_);
+      send(MessageKind::Request, ++Number_);
   }
   /// A window that stands still lost its datagrams; it is filled again.
   void watch() {
@@ -227,13 +228,13 @@
       if (Error)
         return;
       if (Route_.Size_ == 0)
-        send(Kind::Open, 0);
+        send(MessageKind::Open, 0);
       else if (Clock::now() - Last_ > std::chrono::milliseconds(50))
         fill();
       watch();
     });
   }
-  void send(Kind K, std::uint32_t Number) {
+  void send(MessageKind K, std::uint32_t Number) {
     std::uint8_t Payload[Balancer::MinOpenSize] = {};
     Message M;
     M.Kind_ = K;
@@ -241,8 +242,9 @@
     M.Request_ = Number;
     M.Flags_ = Repeatable_ ? FlagRepeatable : 0;
     M.Route_ = Route_.bytes();
-    M.Payload_ = {Payload, K == Kind::Open ? sizeof Payload : PayloadBytes};
-    std::uint8_t Buffer[MaxDatagram];
+    M.Payload_ = {Payload,
+                  K == MessageKind::Open ? sizeof Payload : PayloadBytes};
+    std::uint8_t Buffer[MaxDatagramSize];
     SentAt_[Number % SentAt_.size()] = Clock::now();
     std::size_t Size = encode(M, Buffer, sizeof Buffer);
     Socket_.send(MiddleAt, Buffer, Size);
--- a/include/thymewall/balancer.h
+++ b/include/thymewall/balancer.h
@@ -17,7 +17,7 @@
 ///   ActionSink Sink = [](const Action &A) { ... };
 ///   B.handle(Now, DeclarationRead{Declaration}, Sink);
 ///   B.handle(Now, FromCaller{Caller, OpenMessage, WireSize}, Sink);
-///   B.handle(Now, Tick{}, Sink); // about every `TickEvery`
+///   B.handle(Now, Tick{}, Sink); // about every `TickInterval`
 ///
 /// Byte fields of a message in an action are valid only during the call of the
 /// sink. Everything else that the core reports is read with `status` and
@@ -49,37 +49,38 @@
   Endpoint From_;
   PeerDatagram Datagram_;
 };
-/// A valid declaration was read, from the platform or from a peer. `Asked_` is
-/// that of the `RereadSources` which the read answers: news that was under way
-/// before a pause does not end it.
+/// A valid declaration was read, from the platform or from a peer. `RereadId_`
+/// is that of the `RereadSources` which the read answers: news that was under
+/// way before a pause does not end it.
 struct DeclarationRead {
   DeclarationPtr Declaration_;
-  std::uint64_t Asked_ = 0;
+  std::uint64_t RereadId_ = 0;
 };
 /// A source answered that it has nothing newer than what is in force.
-struct SourceConfirmed {
-  std::uint64_t Asked_ = 0;
+struct DeclarationUnchanged {
+  std::uint64_t RereadId_ = 0;
 };
 struct HostListRead {
   HostListPtr HostList_;
 };
 /// A heartbeat of another balancer arrived.
-struct PeerSeen {
+struct HeartbeatReceived {
   BalancerId Id_{};
   Endpoint Data_;
   Incarnation Incarnation_{};
   bool Leaving_ = false;
 };
-struct SuccessionRead {
+struct SuccessionReceived {
   Succession Succession_;
 };
 struct Tick {};
 /// The operator stops this process.
-struct StopAsked {};
+struct StopRequested {};
 
-using Event = std::variant<FromCaller, FromUpstream, FromPeer, DeclarationRead,
-                           SourceConfirmed, HostListRead, PeerSeen,
-                           SuccessionRead, Tick, StopAsked>;
+using Event =
+    std::variant<FromCaller, FromUpstream, FromPeer, DeclarationRead,
+                 DeclarationUnchanged, HostListRead, HeartbeatReceived,
+                 SuccessionReceived, Tick, StopRequested>;
 
 struct ToCaller {
   Endpoint To_;
@@ -94,32 +95,33 @@
   PeerDatagram Datagram_;
 };
 /// Another declaration is in force from now on.
-struct InForce {
+struct DeclarationApplied {
   DeclarationPtr Declaration_;
 };
 /// The process was away; read the platform and the peers again.
 struct RereadSources {
-  std::uint64_t Asked_ = 0; ///< To be given back with what is read.
+  std::uint64_t RereadId_ = 0; ///< To be given back with what is read.
 };
 /// Tell every peer.
-struct TellSuccession {
+struct BroadcastSuccession {
   Succession Succession_;
 };
 /// All is handed over and answered; the process may end.
 struct Stopped {};
 
-using Action = std::variant<ToCaller, ToUpstream, ToPeer, InForce,
-                            RereadSources, TellSuccession, Stopped>;
+using Action = std::variant<ToCaller, ToUpstream, ToPeer, DeclarationApplied,
+                            RereadSources, BroadcastSuccession, Stopped>;
 using ActionSink = std::function<void(const Action &)>;
 
 /// How a caller's packet found its upstream.
-enum class Step : std::uint8_t { Route, Home, Passed, Refused, Count };
+enum class ResolvedBy : std::uint8_t { Route, Home, Passed, Refused, Count };
 
 /// Totals since the start of the process.
 struct Counters {
   std::array<std::uint64_t, static_cast<std::size_t>(ErrorKind::Count)>
       Errors_{};
-  std::array<std::uint64_t, static_cast<std::size_t>(Step::Count)> Steps_{};
+  std::array<std::uint64_t, static_cast<std::size_t>(ResolvedBy::Count)>
+      ResolvedBy_{};
   std::uint64_t Opens_ = 0;
   std::uint64_t Opened_ = 0;
   std::uint64_t Requests_ = 0;
@@ -135,13 +137,13 @@
 
 /// What an operator sees.
 struct Status {
-  Version InForce_ = 0;
+  Version DeclarationVersion_ = 0;
   std::uint64_t Digest_ = 0;
   bool Ready_ = false;
   bool Stopping_ = false;
   std::size_t Flows_ = 0;
   std::size_t Requests_ = 0;
-  std::size_t Passes_ = 0;
+  std::size_t PendingForwards_ = 0;
   std::size_t MemoryBytes_ = 0; ///< Of the three tables.
   MonoTime Now_{};              ///< Of the last event; tells who is ejected.
   std::vector<UpstreamRow> Upstreams_;
@@ -164,17 +166,17 @@
   Chooser Chooser_ = chooseTwoOwn;
   ZoneClock Zones_;
   DelayHook OnDelay_;
-  std::uint32_t FlowBound_ = 1'000'000;
-  std::uint32_t RequestBound_ = 100'000;
-  std::uint32_t PassBound_ = 2048;
+  std::uint32_t MaxFlows_ = 1'000'000;
+  std::uint32_t MaxRequests_ = 100'000;
+  std::uint32_t MaxForwards_ = 2048;
 };
 
 class Balancer {
 public:
   /// How often the harness sends `Tick`, and how late one may come before the
   /// core takes itself to have been away.
-  static constexpr Micros TickEvery = std::chrono::milliseconds(5);
-  static constexpr Micros LateAfter = std::chrono::seconds(1);
+  static constexpr Micros TickInterval = std::chrono::milliseconds(5);
+  static constexpr Micros MaxTickDelay = std::chrono::seconds(1);
   /// Shortest `Open` that is answered; the reply is never longer.
   static constexpr std::size_t MinOpenSize = 160;
 
@@ -206,7 +208,7 @@
   BalancerBuilder &chooser(Chooser Value);
   BalancerBuilder &zones(ZoneClock Value);
   BalancerBuilder &onDelay(DelayHook Value);
-  BalancerBuilder &flowBound(std::uint32_t Value);
+  BalancerBuilder &maxFlows(std::uint32_t Value);
   Balancer build() const;
 
 private:
--- a/include/thymewall/request-table.h
+++ b/include/thymewall/request-table.h
@@ -56,9 +56,9 @@
   RequestKey Key_;
   Message Message_; ///< Byte fields are set by `message`.
   Endpoint Home_;
-  PeerKind Kind_ = PeerKind::Pass;
-  std::array<std::uint8_t, MaxRoute> Route_{};
-  std::array<std::uint8_t, MaxDatagram> Payload_{};
+  PeerMessageKind Kind_ = PeerMessageKind::Forwarded;
+  std::array<std::uint8_t, MaxRouteSize> Route_{};
+  std::array<std::uint8_t, MaxDatagramSize> Payload_{};
   std::uint16_t RouteSize_ = 0;
   std::uint16_t PayloadSize_ = 0;
   std::uint8_t Tries_ = 0;
--- a/include/thymewall/route.h
+++ b/include/thymewall/route.h
@@ -28,7 +28,7 @@
 
 /// A sealed route in a buffer of its own.
 struct SealedRoute {
-  std::array<std::uint8_t, MaxRoute> Bytes_{};
+  std::array<std::uint8_t, MaxRouteSize> Bytes_{};
   std::size_t Size_ = 0;
   Bytes bytes() const { return {Bytes_.data(), Size_}; }
 };
--- a/include/thymewall/timed-table.h
+++ b/include/thymewall/timed-table.h
@@ -96,9 +96,9 @@
   }
 
   std::size_t size() const { return Size_; }
-  std::size_t bound() const { return Bound_; }
+  std::size_t capacity() const { return Bound_; }
   /// Bytes held by the slab, the chains and the wheel.
-  std::size_t memory() const {
+  std::size_t memoryBytes() const {
     return Rows_.capacity() * sizeof(Row) +
            (Chains_.capacity() + Wheel_.capacity()) * sizeof(std::uint32_t);
   }
--- a/src/app-payload.h
+++ b/src/app-payload.h
@@ -18,7 +18,7 @@
 
 constexpr std::size_t AppPayloadSize = 14;
 
-inline void write(const AppPayload &P, std::uint8_t *Into) {
+inline void writeAppPayload(const AppPayload &P, std::uint8_t *Into) {
   std::memcpy(Into, &P.Id_, 8);
   std::memcpy(Into + 8, &P.Service_, 4);
   std::memcpy(Into + 12, &P.Parts_, 2);
--- a/src/balancer-caller.cc
+++ b/src/balancer-caller.cc
@@ -24,31 +24,32 @@
   M.Caller_ = E.From_;
   if (!serviceState(M.Service_))
     return drop(ErrorKind::UnknownService);
-  if (M.Kind_ == Kind::Open) {
+  if (M.Kind_ == MessageKind::Open) {
     if (E.WireSize_ < MinOpenSize)
       return drop(ErrorKind::Malformed);
     return openFlow(M, true);
   }
-  bool Known = M.Kind_ == Kind::Request || M.Kind_ == Kind::Ping ||
-               M.Kind_ == Kind::Cancel || M.Kind_ == Kind::Close;
-  if (!Known || (M.Kind_ == Kind::Request && M.Request_ == 0))
+  bool Known = M.Kind_ == MessageKind::Request ||
+               M.Kind_ == MessageKind::Ping || M.Kind_ == MessageKind::Cancel ||
+               M.Kind_ == MessageKind::Close;
+  if (!Known || (M.Kind_ == MessageKind::Request && M.Request_ == 0))
     return drop(ErrorKind::Malformed);
-  if (M.Kind_ == Kind::Request)
+  if (M.Kind_ == MessageKind::Request)
     return request(M);
   Route R;
   if (!readRoute(M, R))
     return;
-  if (M.Kind_ == Kind::Close)
+  if (M.Kind_ == MessageKind::Close)
     return closeFlow(M, R);
-  if (M.Kind_ == Kind::Ping)
+  if (M.Kind_ == MessageKind::Ping)
     tellMoved(M, R);
   forwardStateless(M, R);
 }
 
 bool Balancer::Impl::readRoute(const Message &M, Route &R) {
   if (M.Route_.empty()) {
-    ++Counters_.Steps_[static_cast<std::size_t>(Step::Refused)];
-    if (M.Kind_ == Kind::Request)
+    ++Counters_.ResolvedBy_[static_cast<std::size_t>(ResolvedBy::Refused)];
+    if (M.Kind_ == MessageKind::Request)
       refuse(M, ErrorKind::RouteRequired, Answer::OutcomeUnknown);
     else
       drop(ErrorKind::RouteRequired);
@@ -84,7 +85,7 @@
   FlowKey Key{M.Service_, M.Flow_};
   if (Stopping_ && MayPass) {
     if (const Peer *P = openSuccessor(Key))
-      return toPeer(P->Data_, PeerKind::Pass, M);
+      return toPeer(P->Data_, PeerMessageKind::Forwarded, M);
   }
   WallTime Latest = Now_.Wall_ + S->Service_.DeadlineAfter_;
   if (M.Deadline_ == WallTime{} || M.Deadline_ > Latest)
@@ -144,7 +145,7 @@
 
 void Balancer::Impl::sendOpen(const RequestRow &Row) {
   Message M;
-  M.Kind_ = Kind::Open;
+  M.Kind_ = MessageKind::Open;
   M.Service_ = Row.Key_.Service_;
   M.Flow_ = Row.Key_.Flow_;
   M.Deadline_ = Row.Deadline_;
@@ -190,23 +191,23 @@
   if (!readRoute(M, R))
     return;
   if (M.repeatable()) {
-    ++Counters_.Steps_[static_cast<std::size_t>(Step::Route)];
+    ++Counters_.ResolvedBy_[static_cast<std::size_t>(ResolvedBy::Route)];
     return forwardRepeatable(M, R);
   }
   if (isHome(R) || !has(Mechanism::HomeOnly)) {
-    ++Counters_.Steps_[static_cast<std::size_t>(Step::Home)];
+    ++Counters_.ResolvedBy_[static_cast<std::size_t>(ResolvedBy::Home)];
     return submit(M, R);
   }
-  ++Counters_.Steps_[static_cast<std::size_t>(Step::Passed)];
+  ++Counters_.ResolvedBy_[static_cast<std::size_t>(ResolvedBy::Passed)];
   if (const Succession *S = successionOf(R); S && mayAdopt(M, R)) {
     const Successor &Next = successorOf(*S, {M.Service_, M.Flow_});
     if (Next.Incarnation_ == Options_.Incarnation_)
       return adopt(M, R);
-    return pass(M, R, Next.Data_, PeerKind::Pass);
+    return pass(M, R, Next.Data_, PeerMessageKind::Forwarded);
   }
   if (R.HomeAt_ == Options_.Data_) // an earlier process at this address
     return rehome(M, R, ErrorKind::HomeUnreachable);
-  pass(M, R, R.HomeAt_, PeerKind::Pass);
+  pass(M, R, R.HomeAt_, PeerMessageKind::Forwarded);
 }
 
 bool Balancer::Impl::overloaded(const ServiceState &S,
@@ -266,7 +267,7 @@
 void Balancer::Impl::forwardStateless(const Message &M, const Route &R) {
   if (holder(R) == UpstreamTable::None)
     return drop(ErrorKind::FlowUnknown);
-  ++Counters_.Steps_[static_cast<std::size_t>(Step::Route)];
+  ++Counters_.ResolvedBy_[static_cast<std::size_t>(ResolvedBy::Route)];
   if (FlowRow *Row = isHome(R) ? Flows_.find({M.Service_, M.Flow_}) : nullptr)
     touch(*Row);
   Message Out = M;
@@ -280,7 +281,7 @@
 void Balancer::Impl::closeFlow(const Message &M, const Route &R) {
   forwardStateless(M, R);
   if (!isHome(R))
-    return toPeer(R.HomeAt_, PeerKind::Pass, M);
+    return toPeer(R.HomeAt_, PeerMessageKind::Forwarded, M);
   FlowRow *Row = Flows_.find({M.Service_, M.Flow_});
   if (Row && Row->Epoch_ == R.Epoch_)
     closeRow(*Row);
@@ -299,7 +300,7 @@
   bool May = Bound == Answer::NotRun || !has(Mechanism::TruthfulNotRun);
   bool NotRun = May && Row.Answer_ == Answer::NotRun;
   ++(NotRun ? Counters_.NotRun_ : Counters_.OutcomeUnknown_);
-  Message Out = about(M, Kind::Refused);
+  Message Out = makeReply(M, MessageKind::Refused);
   Out.Flags_ = NotRun ? FlagNotRun : FlagOutcomeUnknown;
   Out.Reason_ = Why;
   auto Spread =
@@ -327,7 +328,7 @@
   (*Sink_)(ToUpstream{To, M});
 }
 
-void Balancer::Impl::toPeer(const Endpoint &To, PeerKind Kind,
+void Balancer::Impl::toPeer(const Endpoint &To, PeerMessageKind Kind,
                             const Message &M) {
   (*Sink_)(ToPeer{To, PeerDatagram{Kind, M}});
 }
--- a/src/balancer-home.cc
+++ b/src/balancer-home.cc
@@ -122,7 +122,7 @@
   bool Used = has(Mechanism::NumberWindow) && Row.numberUsed(M.Request_);
   bool Replays = !Closed && Upstreams_[Index].Remembers_;
   if (Used && From == Origin::Own && stoppedHandingOn())
-    return delegate(M, R, PeerKind::Repeat);
+    return delegate(M, R, PeerMessageKind::Duplicate);
   if (Used && !Replays)
     return refuse(M, ErrorKind::NumberUsed, Answer::OutcomeUnknown);
   Row.useNumber(M.Request_);
@@ -130,7 +130,7 @@
   // Where the upstream remembers, other balancers may send it a copy too.
   bool Only = !Used && !Replays;
   if (!Used && From == Origin::Own && stoppedHandingOn())
-    return delegate(M, R, PeerKind::Delegate);
+    return delegate(M, R, PeerMessageKind::Delegated);
   Answer Bound = Only ? Answer::NotRun : Answer::OutcomeUnknown;
   if (Closed || holder(R) != Index)
     return refuse(M, ErrorKind::FlowUnknown, Bound);
@@ -149,11 +149,12 @@
 /// Sends a request on to its home and keeps it until the home has confirmed it.
 /// From here on this balancer can't know whether it was run.
 void Balancer::Impl::pass(const Message &M, const Route &R,
-                          const Endpoint &Home, PeerKind Kind) {
+                          const Endpoint &Home, PeerMessageKind Kind) {
   RequestKey Key{M.Service_, M.Request_, M.Flow_};
   if (Passes_.find(Key))
     return;
-  if (Kind == PeerKind::Pass && Home == R.HomeAt_ && suspects(R.Home_))
+  if (Kind == PeerMessageKind::Forwarded && Home == R.HomeAt_ &&
+      suspects(R.Home_))
     return rehome(M, R, ErrorKind::HomeUnreachable);
   PassRow Row;
   Row.Key_ = Key;
@@ -182,7 +183,7 @@
   Route R;
   if (thymewall::open(M.Route_, Options_.Keys_, M.Service_, M.Flow_, R) ==
       ErrorKind::None) {
-    if (Row.Kind_ == PeerKind::Pass && Row.Home_ == R.HomeAt_)
+    if (Row.Kind_ == PeerMessageKind::Forwarded && Row.Home_ == R.HomeAt_)
       suspect(R.Home_);
     rehome(M, R, Why);
   }
@@ -220,7 +221,7 @@
   if (!Row)
     return;
   SealedRoute Sealed = routeOf(*Row, R.UpstreamIncarnation_);
-  Message Out = about(M, Kind::Moved);
+  Message Out = makeReply(M, MessageKind::Moved);
   Out.Route_ = Sealed.bytes();
   (*Sink_)(ToCaller{M.Caller_, Out});
 }
@@ -247,15 +248,15 @@
   const Message &M = E.Datagram_.Inner_;
   PassRow *Row = Passes_.find({M.Service_, M.Request_, M.Flow_});
   switch (E.Datagram_.Kind_) {
-  case PeerKind::Pass:
-  case PeerKind::Delegate:
-  case PeerKind::Repeat:
+  case PeerMessageKind::Forwarded:
+  case PeerMessageKind::Delegated:
+  case PeerMessageKind::Duplicate:
     return onPassed(M, E.From_, E.Datagram_.Kind_);
-  case PeerKind::Taken:
+  case PeerMessageKind::ForwardAccepted:
     if (Row && Row->Home_ == E.From_)
       Passes_.erase(*Row);
     return;
-  case PeerKind::NotHome:
+  case PeerMessageKind::NotHome:
     if (Row && Row->Home_ == E.From_) {
       givePassUp(*Row, ErrorKind::HomeUnreachable);
       Passes_.erase(*Row);
@@ -265,44 +266,46 @@
 }
 
 void Balancer::Impl::confirm(const Message &M, const Endpoint &To,
-                             PeerKind Kind) {
-  toPeer(To, Kind, about(M, M.Kind_));
+                             PeerMessageKind Kind) {
+  toPeer(To, Kind, makeReply(M, M.Kind_));
 }
 
 /// A stopping home had this number before: either it ran the request, or it
 /// delegated it to us and we may be running it now.
 void Balancer::Impl::onRepeated(const Message &M, const Endpoint &From) {
-  confirm(M, From, PeerKind::Taken);
+  confirm(M, From, PeerMessageKind::ForwardAccepted);
   if (!Requests_.find({M.Service_, M.Request_, M.Flow_}))
     refuse(M, ErrorKind::NumberUsed, Answer::OutcomeUnknown);
 }
 
 void Balancer::Impl::onPassed(const Message &M, const Endpoint &From,
-                              PeerKind Kind) {
-  if (M.Kind_ == Kind::Open)
+                              PeerMessageKind Kind) {
+  if (M.Kind_ == MessageKind::Open)
     return openFlow(M, false);
   Route R;
   ErrorKind Why =
       thymewall::open(M.Route_, Options_.Keys_, M.Service_, M.Flow_, R);
   if (Why != ErrorKind::None)
     return drop(Why);
-  if (M.Kind_ == Kind::Close) {
+  if (M.Kind_ == MessageKind::Close) {
     FlowRow *Row = Flows_.find({M.Service_, M.Flow_});
     if (isHome(R) && Row && Row->Epoch_ == R.Epoch_)
       closeRow(*Row);
     return;
   }
-  if (M.Kind_ != Kind::Request || M.repeatable())
+  if (M.Kind_ != MessageKind::Request || M.repeatable())
     return drop(ErrorKind::Malformed);
-  if (Kind == PeerKind::Repeat)
+  if (Kind == PeerMessageKind::Duplicate)
     return onRepeated(M, From);
-  bool Delegated = Kind == PeerKind::Delegate;
+  bool Delegated = Kind == PeerMessageKind::Delegated;
   const Succession *S = successionOf(R);
   bool Mine = S && successorOf(*S, {M.Service_, M.Flow_}).Incarnation_ ==
                        Options_.Incarnation_;
   bool Adopts = Delegated || (Mine && mayAdopt(M, R));
   bool Accepts = isHome(R) || Adopts;
-  confirm(M, From, Accepts ? PeerKind::Taken : PeerKind::NotHome);
+  confirm(M, From,
+          Accepts ? PeerMessageKind::ForwardAccepted
+                  : PeerMessageKind::NotHome);
   if (isHome(R))
     return submit(M, R);
   if (Adopts)
--- a/src/balancer-impl.h
+++ b/src/balancer-impl.h
@@ -71,12 +71,12 @@
   void on(const FromUpstream &E);
   void on(const FromPeer &E);
   void on(const DeclarationRead &E);
-  void on(const SourceConfirmed &E);
+  void on(const DeclarationUnchanged &E);
   void on(const HostListRead &E);
-  void on(const PeerSeen &E);
-  void on(const SuccessionRead &E);
+  void on(const HeartbeatReceived &E);
+  void on(const SuccessionReceived &E);
   void on(const Tick &E);
-  void on(const StopAsked &E);
+  void on(const StopRequested &E);
 
   // Intent and time (balancer.cc).
   void noticeLateWake();
@@ -118,7 +118,7 @@
   void refuseRow(const RequestRow &Row, ErrorKind Why, Answer Bound,
                  WallTime RetryAt = {});
   void toUpstream(const Endpoint &To, const Message &M);
-  void toPeer(const Endpoint &To, PeerKind Kind, const Message &M);
+  void toPeer(const Endpoint &To, PeerMessageKind Kind, const Message &M);
 
   // Upstreams (balancer-upstream.cc).
   void onOpened(const Message &M, std::uint32_t Upstream);
@@ -142,11 +142,11 @@
   void submitToRow(FlowRow &Row, const Message &M, const Route &R, Origin From);
   bool stoppedHandingOn() const;
   void pass(const Message &M, const Route &R, const Endpoint &Home,
-            PeerKind Kind);
+            PeerMessageKind Kind);
   void rehome(const Message &M, const Route &R, ErrorKind Why);
-  void confirm(const Message &M, const Endpoint &To, PeerKind Kind);
+  void confirm(const Message &M, const Endpoint &To, PeerMessageKind Kind);
   void onRepeated(const Message &M, const Endpoint &From);
-  void onPassed(const Message &M, const Endpoint &From, PeerKind Kind);
+  void onPassed(const Message &M, const Endpoint &From, PeerMessageKind Kind);
   void givePassUp(PassRow &Row, ErrorKind Why);
   bool suspects(Incarnation Home) const;
   void suspect(Incarnation Home);
@@ -158,7 +158,7 @@
   const Succession *successionOf(const Route &R) const;
   bool mayAdopt(const Message &M, const Route &R) const;
   void adopt(const Message &M, const Route &R);
-  void delegate(const Message &M, const Route &R, PeerKind Kind);
+  void delegate(const Message &M, const Route &R, PeerMessageKind Kind);
   void checkStopped();
   const Peer *openSuccessor(const FlowKey &Flow) const;
 
@@ -186,7 +186,7 @@
   MonoTime StopBy_{};
   WallTime NextSelectAt_{};
   std::uint64_t Attempts_ = 0;
-  std::uint64_t Asked_ = 0; ///< Counts `RereadSources`.
+  std::uint64_t RereadId_ = 0; ///< Counts `RereadSources`.
   std::uint32_t Epochs_ = 0;
   bool Fresh_ = false;
   bool Stopping_ = false;
--- a/src/balancer-process.cc
+++ b/src/balancer-process.cc
@@ -89,9 +89,9 @@
   void act(const ToCaller &A);
   void act(const ToUpstream &A);
   void act(const ToPeer &A);
-  void act(const InForce &A);
+  void act(const DeclarationApplied &A);
   void act(const RereadSources &A);
-  void act(const TellSuccession &A);
+  void act(const BroadcastSuccession &A);
   void act(const Stopped &A);
 
   void onPlatform(const PlatformAnswer &Answer);
@@ -156,7 +156,7 @@
       return;
     logState("stopping", {});
     Control_.setLeaving();
-    give(StopAsked{});
+    give(StopRequested{});
   });
   logState("started", {{"data", formatEndpoint(Settings_.Data_)},
                        {"incarnation", std::to_string(raw(Self_))}});
@@ -201,28 +201,28 @@
   auto Known = Services_.find(A.Message_.Service_);
   if (Known == Services_.end())
     return;
-  std::uint8_t Buffer[MaxDatagram + MaxHeader];
+  std::uint8_t Buffer[MaxDatagramSize + MaxHeaderSize];
   std::size_t Size = encode(A.Message_, Buffer, sizeof Buffer);
   if (Size != 0)
     Known->second->send(A.To_, Buffer, Size);
 }
 
 void BalancerProcess::Impl::act(const ToUpstream &A) {
-  std::uint8_t Buffer[MaxDatagram + MaxHeader];
+  std::uint8_t Buffer[MaxDatagramSize + MaxHeaderSize];
   std::size_t Size = encode(A.Message_, Buffer, sizeof Buffer);
   if (Size != 0)
     Upstream_.send(A.To_, Buffer, Size);
 }
 
 void BalancerProcess::Impl::act(const ToPeer &A) {
-  std::uint8_t Buffer[MaxDatagram + 2 * MaxHeader];
+  std::uint8_t Buffer[MaxDatagramSize + 2 * MaxHeaderSize];
   std::size_t Size =
       encodePeer(A.Datagram_, Settings_.Keys_[0], Buffer, sizeof Buffer);
   if (Size != 0)
     Peers_.send(A.To_, Buffer, Size);
 }
 
-void BalancerProcess::Impl::act(const InForce &A) {
+void BalancerProcess::Impl::act(const DeclarationApplied &A) {
   Declaration_ = A.Declaration_;
   for (const Service &S : Declaration_->Services_) {
     if (Services_.count(S.Id_) != 0)
@@ -250,12 +250,12 @@
 
 void BalancerProcess::Impl::act(const RereadSources &A) {
   logState("late_wake", {});
-  Asked_ = A.Asked_;
-  Platform_.readNow(A.Asked_);
-  Control_.askFreshness(A.Asked_);
+  Asked_ = A.RereadId_;
+  Platform_.readNow(A.RereadId_);
+  Control_.askFreshness(A.RereadId_);
 }
 
-void BalancerProcess::Impl::act(const TellSuccession &A) {
+void BalancerProcess::Impl::act(const BroadcastSuccession &A) {
   Control_.tell(A.Succession_);
 }
 
@@ -268,7 +268,7 @@
   Control_.noteWatched();
   if (Answer.Text_.empty()) {
     if (Answer.Kind_ == DocumentKind::Declaration)
-      give(SourceConfirmed{Answer.Asked_});
+      give(DeclarationUnchanged{Answer.Asked_});
     return;
   }
   onDocument(Answer.Kind_, Answer.Text_, "platform", Answer.Asked_);
@@ -325,8 +325,8 @@
 ControlHooks BalancerProcess::Impl::controlHooks() {
   ControlHooks Hooks;
   Hooks.OnHeartbeat_ = [this](const Heartbeat &M) {
-    give(PeerSeen{static_cast<BalancerId>(nameId(M.Name_)), M.Data_,
-                  M.Incarnation_, M.Leaving_});
+    give(HeartbeatReceived{static_cast<BalancerId>(nameId(M.Name_)), M.Data_,
+                           M.Incarnation_, M.Leaving_});
   };
   Hooks.OnDocument_ = [this](DocumentKind Kind, const std::string &Text) {
     // A peer's document is taken as fresh once the peers are asked again.
@@ -335,17 +335,17 @@
       Control_.askFreshness(Asked_);
   };
   Hooks.OnSuccession_ = [this](const Succession &S) {
-    give(SuccessionRead{S});
+    give(SuccessionReceived{S});
   };
   Hooks.OnConfirmed_ = [this](std::uint64_t Asked) {
-    give(SourceConfirmed{Asked});
+    give(DeclarationUnchanged{Asked});
   };
   return Hooks;
 }
 
 void BalancerProcess::Impl::tick() {
   give(Tick{});
-  TickTimer_.expires_after(Balancer::TickEvery);
+  TickTimer_.expires_after(Balancer::TickInterval);
   TickTimer_.async_wait([this](const asio::error_code &Error) {
     if (!Error)
       tick();
--- a/src/balancer-succession.cc
+++ b/src/balancer-succession.cc
@@ -7,7 +7,7 @@
 using detail::has;
 using detail::Mechanism;
 
-void Balancer::Impl::on(const StopAsked &) {
+void Balancer::Impl::on(const StopRequested &) {
   if (Stopping_)
     return;
   Stopping_ = true;
@@ -31,7 +31,7 @@
       S.Successors_.begin(), S.Successors_.end(),
       [](const Successor &A, const Successor &B) { return A.Data_ < B.Data_; });
   StopBySuccessors_ = S;
-  (*Sink_)(TellSuccession{S});
+  (*Sink_)(BroadcastSuccession{S});
 }
 
 const Succession *Balancer::Impl::successionOf(const Route &R) const {
@@ -62,10 +62,11 @@
   submitToRow(*Row, M, R, Origin::Adopted);
 }
 
-/// A stopping home passes a request to its successor: as `Delegate` one that it
-/// has never run nor will (its number is used from now on), as `Repeat` a copy
-/// of one that it or the successor had before.
-void Balancer::Impl::delegate(const Message &M, const Route &R, PeerKind Kind) {
+/// A stopping home passes a request to its successor: as `Delegated` one that
+/// it has never run nor will (its number is used from now on), as `Duplicate` a
+/// copy of one that it or the successor had before.
+void Balancer::Impl::delegate(const Message &M, const Route &R,
+                              PeerMessageKind Kind) {
   const Successor &Next = successorOf(StopBySuccessors_, {M.Service_, M.Flow_});
   pass(M, R, Next.Data_, Kind);
 }
--- a/src/balancer-upstream.cc
+++ b/src/balancer-upstream.cc
@@ -19,18 +19,18 @@
   if (Index == UpstreamTable::None)
     return drop(ErrorKind::UnknownSender);
   Upstreams_.seen(Index, M.Incarnation_, Now_.Mono_);
-  Upstreams_[Index].ReportedFlows_ = M.Load_;
+  Upstreams_[Index].ReportedFlows_ = M.OpenFlows_;
   switch (M.Kind_) {
-  case Kind::Opened:
+  case MessageKind::Opened:
     return onOpened(M, Index);
-  case Kind::Answer:
+  case MessageKind::Answer:
     return onAnswer(M, Index);
-  case Kind::Refused:
+  case MessageKind::Refused:
     return onRefused(M, Index);
-  case Kind::Reset:
+  case MessageKind::Reset:
     return onReset(M, Index);
-  case Kind::Push:
-  case Kind::Pong:
+  case MessageKind::Push:
+  case MessageKind::Pong:
     return relayToCaller(M);
   default:
     return drop(ErrorKind::Malformed);
@@ -88,7 +88,7 @@
   finish(*Row);
   ++Counters_.Opened_;
   SealedRoute Sealed = routeOf(*Flow, M.Incarnation_);
-  Message Out = about(M, Kind::Opened);
+  Message Out = makeReply(M, MessageKind::Opened);
   Out.Route_ = Sealed.bytes();
   (*Sink_)(ToCaller{Caller, Out});
 }
@@ -110,7 +110,7 @@
   Message Out = M;
   Out.Caller_ = {};
   Out.Incarnation_ = {};
-  Out.Load_ = 0;
+  Out.OpenFlows_ = 0;
   Out.Epoch_ = 0;
   SealedRoute Sealed;
   FlowRow *Flow = Row->NewRoute_ ? Flows_.find({M.Service_, M.Flow_}) : nullptr;
@@ -118,7 +118,7 @@
     Sealed = routeOf(*Flow, M.Incarnation_);
   Out.Route_ = Sealed.bytes();
   (*Sink_)(ToCaller{Row->Caller_, Out});
-  if (Row->PartsSeen_ != allParts(Parts))
+  if (Row->PartsSeen_ != allPartsMask(Parts))
     return;
   ++Counters_.Answered_;
   Upstreams_.succeeded(Upstream);
@@ -163,7 +163,7 @@
     finish(*Row);
   }
   ++(NotRun ? Counters_.NotRun_ : Counters_.OutcomeUnknown_);
-  Message Out = about(M, Kind::Reset);
+  Message Out = makeReply(M, MessageKind::Reset);
   Out.Flags_ = NotRun ? FlagNotRun : FlagOutcomeUnknown;
   Out.Reason_ = ErrorKind::FlowUnknown;
   (*Sink_)(ToCaller{M.Caller_, Out});
@@ -176,7 +176,7 @@
   Message Out = M;
   Out.Caller_ = {};
   Out.Incarnation_ = {};
-  Out.Load_ = 0;
+  Out.OpenFlows_ = 0;
   (*Sink_)(ToCaller{M.Caller_, Out});
 }
 
--- a/src/balancer.cc
+++ b/src/balancer.cc
@@ -23,14 +23,14 @@
 
 Balancer::Impl::Impl(BalancerOptions Options)
     : Options_(std::move(Options)), Random_(Options_.Seed_),
-      Flows_(Options_.FlowBound_), Requests_(Options_.RequestBound_),
-      Passes_(Options_.PassBound_) {}
+      Flows_(Options_.MaxFlows_), Requests_(Options_.MaxRequests_),
+      Passes_(Options_.MaxForwards_) {}
 
 void Balancer::Impl::handle(const Moment &Now, const Event &What,
                             const ActionSink &Sink) {
   if (Started_ == MonoTime{}) {
     Started_ = Now.Mono_;
-    NextTickBy_ = Now.Mono_ + TickEvery;
+    NextTickBy_ = Now.Mono_ + TickInterval;
   }
   Now_ = Now;
   Sink_ = &Sink;
@@ -42,9 +42,9 @@
 /// Every event checks the clock, because the first one after a pause may be a
 /// datagram that has waited in a socket since before it.
 void Balancer::Impl::noticeLateWake() {
-  if (Now_.Mono_ < NextTickBy_ + LateAfter || !has(Mechanism::LateWake))
+  if (Now_.Mono_ < NextTickBy_ + MaxTickDelay || !has(Mechanism::LateWake))
     return;
-  NextTickBy_ = Now_.Mono_ + TickEvery;
+  NextTickBy_ = Now_.Mono_ + TickInterval;
   ++Counters_.LateWakes_;
   Fresh_ = false;
   TrustOldIntentAt_ = Now_.Mono_ + TrustOldIntentAfter;
@@ -52,7 +52,7 @@
   Peers_.clear();
   SuspectHomes_.clear();
   NextSelectAt_ = {};
-  (*Sink_)(RereadSources{++Asked_});
+  (*Sink_)(RereadSources{++RereadId_});
 }
 
 bool Balancer::Impl::ready() const {
@@ -89,7 +89,7 @@
 }
 
 void Balancer::Impl::on(const DeclarationRead &E) {
-  Fresh_ = Fresh_ || E.Asked_ == Asked_;
+  Fresh_ = Fresh_ || E.RereadId_ == RereadId_;
   bool Newer = !Declaration_ || supersedes(*E.Declaration_, *Declaration_);
   if (!Newer && has(Mechanism::Monotonic))
     return;
@@ -106,11 +106,11 @@
   }
   applyHostList();
   select();
-  (*Sink_)(InForce{Declaration_});
+  (*Sink_)(DeclarationApplied{Declaration_});
 }
 
-void Balancer::Impl::on(const SourceConfirmed &E) {
-  Fresh_ = Fresh_ || E.Asked_ == Asked_;
+void Balancer::Impl::on(const DeclarationUnchanged &E) {
+  Fresh_ = Fresh_ || E.RereadId_ == RereadId_;
 }
 
 void Balancer::Impl::on(const HostListRead &E) {
@@ -129,7 +129,7 @@
                             H.Leaving_);
 }
 
-void Balancer::Impl::on(const PeerSeen &E) {
+void Balancer::Impl::on(const HeartbeatReceived &E) {
   Peer Seen{E.Id_, E.Data_, E.Incarnation_, E.Leaving_,
             Now_.Mono_ + PeerFreshFor};
   auto Same = [&](const SuspectHome &S) { return S.Home_ == E.Incarnation_; };
@@ -144,7 +144,7 @@
   Peers_.push_back(Seen);
 }
 
-void Balancer::Impl::on(const SuccessionRead &E) {
+void Balancer::Impl::on(const SuccessionReceived &E) {
   if (E.Succession_.Successors_.empty())
     return;
   for (const Succession &S : Successions_)
@@ -172,7 +172,7 @@
 }
 
 void Balancer::Impl::on(const Tick &) {
-  NextTickBy_ = Now_.Mono_ + TickEvery;
+  NextTickBy_ = Now_.Mono_ + TickInterval;
   bool MinuteOver =
       Now_.Wall_ >= NextSelectAt_ || Now_.Wall_ + 2min < NextSelectAt_;
   if (Declaration_ && MinuteOver)
@@ -213,7 +213,7 @@
       return;
     }
     Message Cancel;
-    Cancel.Kind_ = Kind::Cancel;
+    Cancel.Kind_ = MessageKind::Cancel;
     Cancel.Service_ = Row.Key_.Service_;
     Cancel.Flow_ = Row.Key_.Flow_;
     Cancel.Request_ = Row.Key_.Number_;
@@ -232,14 +232,15 @@
 
 Status Balancer::Impl::status() const {
   Status S;
-  S.InForce_ = Declaration_ ? Declaration_->Version_ : 0;
+  S.DeclarationVersion_ = Declaration_ ? Declaration_->Version_ : 0;
   S.Digest_ = Declaration_ ? Declaration_->Digest_ : 0;
   S.Ready_ = ready();
   S.Stopping_ = Stopping_;
   S.Flows_ = Flows_.size();
   S.Requests_ = Requests_.size();
-  S.Passes_ = Passes_.size();
-  S.MemoryBytes_ = Flows_.memory() + Requests_.memory() + Passes_.memory();
+  S.PendingForwards_ = Passes_.size();
+  S.MemoryBytes_ =
+      Flows_.memoryBytes() + Requests_.memoryBytes() + Passes_.memoryBytes();
   S.Now_ = Now_.Mono_;
   S.Upstreams_ = Upstreams_.rows();
   return S;
@@ -290,8 +291,8 @@
   Options_.OnDelay_ = std::move(Value);
   return *this;
 }
-BalancerBuilder &BalancerBuilder::flowBound(std::uint32_t Value) {
-  Options_.FlowBound_ = Value;
+BalancerBuilder &BalancerBuilder::maxFlows(std::uint32_t Value) {
+  Options_.MaxFlows_ = Value;
   return *this;
 }
 Balancer BalancerBuilder::build() const {
--- a/src/load-run.cc
+++ b/src/load-run.cc
@@ -78,7 +78,7 @@
 }
 
 void keep(SealedRoute &Into, Bytes From) {
-  if (From.empty() || From.Size_ > MaxRoute)
+  if (From.empty() || From.Size_ > MaxRouteSize)
     return;
   std::memcpy(Into.Bytes_.data(), From.Data_, From.Size_);
   Into.Size_ = From.Size_;
@@ -222,7 +222,7 @@
 void LoadRun::Impl::sendOpen(CallerFlow &F, SteadyTime Now) {
   std::uint8_t Padding[OpenPadding] = {};
   Message M;
-  M.Kind_ = Kind::Open;
+  M.Kind_ = MessageKind::Open;
   M.Payload_ = {Padding, sizeof Padding};
   send(F, M);
   F.NextAt_ = Now + ResendEvery;
@@ -248,9 +248,9 @@
   const Pending &P = F.Pending_;
   std::uint8_t Body[AppPayloadSize];
   const LoadClass &C = classOf(F);
-  write({P.Id_, nameId(C.Service_), C.Parts_}, Body);
+  writeAppPayload({P.Id_, nameId(C.Service_), C.Parts_}, Body);
   Message M;
-  M.Kind_ = Kind::Request;
+  M.Kind_ = MessageKind::Request;
   M.Request_ = P.Number_;
   M.Flags_ = P.Once_ ? 0 : FlagRepeatable;
   M.Deadline_ = P.Deadline_;
@@ -262,7 +262,7 @@
 
 void LoadRun::Impl::sendPing(CallerFlow &F, SteadyTime Now) {
   Message M;
-  M.Kind_ = Kind::Ping;
+  M.Kind_ = MessageKind::Ping;
   M.Request_ = F.PushesInOrder_;
   M.Route_ = F.Route_.bytes();
   send(F, M);
@@ -271,7 +271,7 @@
 
 void LoadRun::Impl::close(CallerFlow &F) {
   Message M;
-  M.Kind_ = Kind::Close;
+  M.Kind_ = MessageKind::Close;
   M.Route_ = F.Route_.bytes();
   send(F, M);
   F.State_ = State::Done;
@@ -280,7 +280,7 @@
 
 void LoadRun::Impl::send(CallerFlow &F, Message &M) {
   M.Flow_ = F.Id_;
-  std::uint8_t Buffer[MaxDatagram + MaxHeader];
+  std::uint8_t Buffer[MaxDatagramSize + MaxHeaderSize];
   std::size_t Size = encode(M, Buffer, sizeof Buffer);
   Sockets_[F.Socket_]->send(classOf(F).At_, Buffer, Size);
 }
@@ -308,17 +308,17 @@
   if (F.State_ == State::Done)
     return;
   switch (M.Kind_) {
-  case Kind::Opened:
+  case MessageKind::Opened:
     return onOpened(F, M);
-  case Kind::Answer:
+  case MessageKind::Answer:
     return onAnswer(F, M);
-  case Kind::Refused:
+  case MessageKind::Refused:
     return onRefused(F, M);
-  case Kind::Reset:
+  case MessageKind::Reset:
     return onReset(F, M);
-  case Kind::Push:
+  case MessageKind::Push:
     return onPush(F, M);
-  case Kind::Moved:
+  case MessageKind::Moved:
     return keep(F.Route_, M.Route_);
   default:
     return;
@@ -356,7 +356,7 @@
   std::uint64_t &Seen = P.PartsSeen_[M.Attempt_];
   Seen |= std::uint64_t{1} << M.Part_;
   keep(F.Route_, M.Route_);
-  if (Seen != allParts(M.Parts_))
+  if (Seen != allPartsMask(M.Parts_))
     return;
   ++Totals_.Answered_;
   if (P.Once_)
--- a/src/message.cc
+++ b/src/message.cc
@@ -15,13 +15,13 @@
   auto Fields = [](const Message &M) {
     return std::tie(M.Kind_, M.Service_, M.Flow_, M.Request_, M.Part_, M.Parts_,
                     M.Flags_, M.Deadline_, M.Attempt_, M.Epoch_, M.Incarnation_,
-                    M.Reason_, M.RetryAt_, M.Load_, M.Route_, M.Caller_,
+                    M.Reason_, M.RetryAt_, M.OpenFlows_, M.Route_, M.Caller_,
                     M.Payload_);
   };
   return Fields(A) == Fields(B);
 }
 
-Message about(const Message &M, Kind K) {
+Message makeReply(const Message &M, MessageKind K) {
   Message Result;
   Result.Kind_ = K;
   Result.Service_ = M.Service_;
@@ -199,7 +199,7 @@
   W.number(raw(M.Incarnation_));
   W.number(raw(M.Reason_));
   W.number(micros(M.RetryAt_));
-  W.number(M.Load_);
+  W.number(M.OpenFlows_);
   W.bytes(M.Route_);
   W.endpoint(M.Caller_);
   W.bytes(M.Payload_);
@@ -208,10 +208,10 @@
 bool readMessage(Reader &R, Message &M) {
   if (!R.array(FieldCount) || R.number(ProtocolVersion) != ProtocolVersion)
     return false;
-  auto KindNumber = R.number(raw(Kind::Last));
+  auto KindNumber = R.number(raw(MessageKind::Last));
   if (KindNumber == 0)
     return false;
-  M.Kind_ = static_cast<Kind>(KindNumber);
+  M.Kind_ = static_cast<MessageKind>(KindNumber);
   M.Service_ = static_cast<ServiceId>(R.number<std::uint32_t>());
   M.Flow_ = static_cast<FlowId>(R.number<std::uint64_t>());
   M.Request_ = R.number<std::uint32_t>();
@@ -224,10 +224,10 @@
   M.Incarnation_ = static_cast<Incarnation>(R.number<std::uint64_t>());
   M.Reason_ = static_cast<ErrorKind>(R.number(raw(ErrorKind::Count) - 1U));
   M.RetryAt_ = R.time();
-  M.Load_ = R.number<std::uint32_t>();
-  M.Route_ = R.bytes(MaxRoute);
+  M.OpenFlows_ = R.number<std::uint32_t>();
+  M.Route_ = R.bytes(MaxRouteSize);
   M.Caller_ = R.endpoint();
-  M.Payload_ = R.bytes(MaxDatagram);
+  M.Payload_ = R.bytes(MaxDatagramSize);
   bool PartFits = M.Parts_ == 0 ? M.Part_ == 0 : M.Part_ < M.Parts_;
   return R.ok() && PartFits;
 }
@@ -246,7 +246,7 @@
 }
 
 ErrorKind decode(const std::uint8_t *Data, std::size_t Size, Message &M) {
-  if (Size > MaxDatagram + MaxHeader)
+  if (Size > MaxDatagramSize + MaxHeaderSize)
     return ErrorKind::Oversized;
   Reader R(Data, Size);
   return readMessage(R, M) && R.done() ? ErrorKind::None : ErrorKind::Malformed;
@@ -269,7 +269,7 @@
 
 ErrorKind decodePeer(const std::uint8_t *Data, std::size_t Size,
                      const std::array<SecretKey, 2> &Keys, PeerDatagram &D) {
-  if (Size > MaxDatagram + 2 * MaxHeader)
+  if (Size > MaxDatagramSize + 2 * MaxHeaderSize)
     return ErrorKind::Oversized;
   if (Size <= TagSize)
     return ErrorKind::Malformed;
@@ -283,10 +283,10 @@
     return ErrorKind::BadTag;
   Reader R(Data + TagSize, Size - TagSize);
   R.array(2);
-  auto KindNumber = R.number(raw(PeerKind::Last));
+  auto KindNumber = R.number(raw(PeerMessageKind::Last));
   if (!R.ok() || KindNumber == 0)
     return ErrorKind::Malformed;
-  D.Kind_ = static_cast<PeerKind>(KindNumber);
+  D.Kind_ = static_cast<PeerMessageKind>(KindNumber);
   return readMessage(R, D.Inner_) && R.done() ? ErrorKind::None
                                               : ErrorKind::Malformed;
 }
--- a/src/packet-balancer-upstreams.cc
+++ b/src/packet-balancer-upstreams.cc
@@ -224,7 +224,7 @@
   S.RoutingVersion_ = Routing_ ? Routing_->Version_ : 0;
   S.KnownAsOf_ = KnownAsOf_;
   S.Flows_ = Flows_.size();
-  S.MemoryBytes_ = Flows_.memory();
+  S.MemoryBytes_ = Flows_.memoryBytes();
   S.EvacuatedHalls_.assign(EvacuatedHalls_.begin(), EvacuatedHalls_.end());
   for (const auto &[Mark, Index] : IndexOfCookie_) {
     const Detail &D = Details_[Index];
--- a/src/request-table.cc
+++ b/src/request-table.cc
@@ -6,9 +6,10 @@
 
 void PassRow::store(const Message &M) {
   Message_ = M;
-  RouteSize_ = static_cast<std::uint16_t>(std::min(M.Route_.Size_, MaxRoute));
+  RouteSize_ =
+      static_cast<std::uint16_t>(std::min(M.Route_.Size_, MaxRouteSize));
   PayloadSize_ =
-      static_cast<std::uint16_t>(std::min(M.Payload_.Size_, MaxDatagram));
+      static_cast<std::uint16_t>(std::min(M.Payload_.Size_, MaxDatagramSize));
   std::copy_n(M.Route_.Data_, RouteSize_, Route_.begin());
   std::copy_n(M.Payload_.Data_, PayloadSize_, Payload_.begin());
 }
--- a/src/route.cc
+++ b/src/route.cc
@@ -23,7 +23,7 @@
 constexpr std::size_t BodySize = 1 + 4 + 18 + 8 + 8 + 18 + 8 + 4;
 constexpr std::size_t RouteSize = BodySize + TagSize;
 constexpr std::size_t NameSize = 4 + 8;
-static_assert(RouteSize <= MaxRoute);
+static_assert(RouteSize <= MaxRouteSize);
 static_assert(crypto_shorthash_siphash24_KEYBYTES == sizeof(SecretKey));
 
 /// Big-endian cursor over a fixed layout, for both directions.
--- a/test/allocation-test.cc
+++ b/test/allocation-test.cc
@@ -29,8 +29,8 @@
   auto Round = [&](std::uint32_t From, std::uint32_t To) {
     for (std::uint32_t I = From; I < To; ++I) {
       B.fromCaller(B.request(I, I % 2 == 0));
-      B.reply(Kind::Answer);
-      B.pass(Balancer::TickEvery);
+      B.reply(MessageKind::Answer);
+      B.pass(Balancer::TickInterval);
     }
   };
   Round(1, 200);
--- a/test/balancer-bench.h
+++ b/test/balancer-bench.h
@@ -64,7 +64,7 @@
   }
   void pass(Micros Time) {
     for (Micros End = Now_ + Time; Now_ < End;) {
-      Now_ += Balancer::TickEvery;
+      Now_ += Balancer::TickInterval;
       give(Tick{});
     }
   }
@@ -77,11 +77,11 @@
   }
   void open() {
     Message M;
-    M.Kind_ = Kind::Open;
+    M.Kind_ = MessageKind::Open;
     fromCaller(M);
   }
   /// Lets the upstream that was last sent to reply.
-  void reply(Kind K, std::uint16_t Part = 0, std::uint16_t Parts = 0) {
+  void reply(MessageKind K, std::uint16_t Part = 0, std::uint16_t Parts = 0) {
     Message M = Up_->Message_;
     M.Kind_ = K;
     M.Part_ = Part;
@@ -92,12 +92,12 @@
   }
   void openFlow() {
     open();
-    reply(Kind::Opened);
+    reply(MessageKind::Opened);
     Route_ = Sealed_;
   }
   Message request(std::uint32_t Number, bool Repeatable = false) {
     Message M;
-    M.Kind_ = Kind::Request;
+    M.Kind_ = MessageKind::Request;
     M.Request_ = Number;
     M.Flags_ = Repeatable ? FlagRepeatable : 0;
     M.Deadline_ = now().Wall_ + milliseconds(900);
@@ -124,7 +124,7 @@
       Peer_ = *P;
       ++ToPeers_;
     } else if (const auto *R = std::get_if<RereadSources>(&A)) {
-      Asked_ = R->Asked_;
+      RereadId_ = R->RereadId_;
     }
   }
 
@@ -139,7 +139,7 @@
   int ToCallers_ = 0;
   int ToUpstreams_ = 0;
   int ToPeers_ = 0;
-  std::uint64_t Asked_ = 0;
+  std::uint64_t RereadId_ = 0;
 };
 
 inline bool notRun(const Bench &B) {
--- a/test/balancer-test.cc
+++ b/test/balancer-test.cc
@@ -8,18 +8,18 @@
   Bench B;
   B.open();
   REQUIRE(B.Up_);
-  CHECK(B.Up_->Message_.Kind_ == Kind::Open);
-  B.reply(Kind::Opened);
+  CHECK(B.Up_->Message_.Kind_ == MessageKind::Open);
+  B.reply(MessageKind::Opened);
   REQUIRE(B.Caller_);
   CHECK(B.Caller_->To_ == Caller);
-  CHECK(B.Caller_->Message_.Kind_ == Kind::Opened);
+  CHECK(B.Caller_->Message_.Kind_ == MessageKind::Opened);
   CHECK(!B.Caller_->Message_.Route_.empty());
   B.Route_ = B.Sealed_;
   B.fromCaller(B.request(1));
-  CHECK(B.Up_->Message_.Kind_ == Kind::Request);
+  CHECK(B.Up_->Message_.Kind_ == MessageKind::Request);
   CHECK(B.Up_->Message_.Incarnation_ == Incarnation{5});
-  B.reply(Kind::Answer);
-  CHECK(B.Caller_->Message_.Kind_ == Kind::Answer);
+  B.reply(MessageKind::Answer);
+  CHECK(B.Caller_->Message_.Kind_ == MessageKind::Answer);
   CHECK(B.Core_.counters().Answered_ == 1U);
 }
 
@@ -33,7 +33,7 @@
 TEST_CASE("a short open is dropped, so that a reply is never longer") {
   Bench B;
   Message M;
-  M.Kind_ = Kind::Open;
+  M.Kind_ = MessageKind::Open;
   B.fromCaller(M, Balancer::MinOpenSize - 1);
   CHECK(B.ToUpstreams_ == 0);
   CHECK(B.errors(ErrorKind::Malformed) == 1U);
@@ -44,13 +44,13 @@
   B.openFlow();
   B.fromCaller(B.request(1));
   int Before = B.ToCallers_;
-  B.reply(Kind::Answer, 2, 3);
-  B.reply(Kind::Answer, 0, 3);
-  B.reply(Kind::Answer, 0, 3);
+  B.reply(MessageKind::Answer, 2, 3);
+  B.reply(MessageKind::Answer, 0, 3);
+  B.reply(MessageKind::Answer, 0, 3);
   CHECK(B.ToCallers_ == Before + 2);
-  B.reply(Kind::Answer, 1, 3);
+  B.reply(MessageKind::Answer, 1, 3);
   CHECK(B.ToCallers_ == Before + 3);
-  B.reply(Kind::Answer, 1, 3);
+  B.reply(MessageKind::Answer, 1, 3);
   CHECK(B.ToCallers_ == Before + 3);
   CHECK(B.errors(ErrorKind::RepeatedPart) == 1U);
   CHECK(B.errors(ErrorKind::LateAnswer) == 1U);
@@ -61,20 +61,20 @@
   B.openFlow();
   B.fromCaller(B.request(1));
   B.pass(milliseconds(890));
-  CHECK(B.Caller_->Message_.Kind_ == Kind::Opened);
+  CHECK(B.Caller_->Message_.Kind_ == MessageKind::Opened);
   B.pass(milliseconds(30));
-  CHECK(B.Caller_->Message_.Kind_ == Kind::Refused);
+  CHECK(B.Caller_->Message_.Kind_ == MessageKind::Refused);
   CHECK(B.Caller_->Message_.Reason_ == ErrorKind::NoAnswer);
   CHECK(!notRun(B));
   CHECK(B.Caller_->Message_.RetryAt_ > B.now().Wall_);
-  CHECK(B.Up_->Message_.Kind_ == Kind::Cancel);
+  CHECK(B.Up_->Message_.Kind_ == MessageKind::Cancel);
 }
 
 TEST_CASE("an upstream's refusal is told at once, and is 'not run' just once") {
   Bench B;
   B.openFlow();
   B.fromCaller(B.request(1));
-  B.reply(Kind::Refused);
+  B.reply(MessageKind::Refused);
   CHECK(B.Caller_->Message_.Reason_ == ErrorKind::UpstreamRefused);
   CHECK(notRun(B));
   CHECK(B.Caller_->Message_.RetryAt_ > B.now().Wall_);
@@ -82,7 +82,7 @@
   CHECK(B.Caller_->Message_.Reason_ == ErrorKind::NumberUsed);
   CHECK(!notRun(B));
   B.fromCaller(B.request(2, true));
-  B.reply(Kind::Refused);
+  B.reply(MessageKind::Refused);
   CHECK(!notRun(B)); // others may hold copies of a repeatable request
 }
 
@@ -107,9 +107,9 @@
   Bench B(42, declaration(1, 1, R"("in_flight_per_slot": 2,)"));
   B.openFlow();
   B.fromCaller(B.request(1));
-  B.reply(Kind::Answer);
+  B.reply(MessageKind::Answer);
   B.fromCaller(B.request(1, true)); // while copies are still swallowed
-  B.reply(Kind::Answer);
+  B.reply(MessageKind::Answer);
   CHECK(B.Core_.status().Upstreams_[0].InFlight_ == 0U);
 }
 
@@ -129,16 +129,16 @@
   Bench B(42, declaration(1, 2, R"("retry_budget": 1,)"));
   B.open();
   Endpoint First = B.Up_->To_;
-  B.reply(Kind::Refused);
+  B.reply(MessageKind::Refused);
   CHECK(B.Up_->To_ != First);
   CHECK(!B.Caller_);
-  B.reply(Kind::Refused);
-  CHECK(B.Caller_->Message_.Kind_ == Kind::Refused);
+  B.reply(MessageKind::Refused);
+  CHECK(B.Caller_->Message_.Kind_ == MessageKind::Refused);
   CHECK(notRun(B));
   Bench None(42, declaration(1, 2, R"("retry_budget": 0,)"));
   None.open();
-  None.reply(Kind::Refused);
-  CHECK(None.Caller_->Message_.Kind_ == Kind::Refused);
+  None.reply(MessageKind::Refused);
+  CHECK(None.Caller_->Message_.Kind_ == MessageKind::Refused);
   CHECK(None.ToUpstreams_ == 1);
 }
 
@@ -167,7 +167,7 @@
   Message First = B.request(1);
   First.Deadline_ = {};
   B.fromCaller(First);
-  B.reply(Kind::Answer);
+  B.reply(MessageKind::Answer);
   for (int I = 0; I < 4100; ++I) { // over an hour
     B.sleep(milliseconds(900));
     B.give(Tick{});
@@ -191,14 +191,15 @@
   B.fromCaller(B.request(1, true)); // the caller asks again
   CHECK(B.Up_->Message_.Attempt_ != Earlier.Message_.Attempt_);
   int Before = B.ToCallers_;
-  for (Kind K : {Kind::Answer, Kind::Refused, Kind::Reset}) {
+  for (MessageKind K :
+       {MessageKind::Answer, MessageKind::Refused, MessageKind::Reset}) {
     Message M = Earlier.Message_;
     M.Kind_ = K;
     M.Incarnation_ = Incarnation{5};
     B.give(FromUpstream{Earlier.To_, M});
   }
   CHECK(B.ToCallers_ == Before);
-  B.reply(Kind::Answer);
+  B.reply(MessageKind::Answer);
   CHECK(B.ToCallers_ == Before + 1);
 }
 
@@ -212,7 +213,7 @@
   Message M = Home.request(1);
   Other.fromCaller(M);
   REQUIRE(Other.Peer_);
-  CHECK(Other.Peer_->Datagram_.Kind_ == PeerKind::Pass);
+  CHECK(Other.Peer_->Datagram_.Kind_ == PeerMessageKind::Forwarded);
   Other.pass(milliseconds(210));
   CHECK(Other.ToPeers_ == 4);
   CHECK(!Other.Caller_);
@@ -232,23 +233,23 @@
   Home.openFlow();
   Bench Other(43);
   Endpoint HomeAt = Endpoint::v4(42, 7100);
-  Other.give(PeerSeen{BalancerId{1}, HomeAt, Incarnation{42}, false});
+  Other.give(HeartbeatReceived{BalancerId{1}, HomeAt, Incarnation{42}, false});
   Message Ping;
-  Ping.Kind_ = Kind::Ping;
+  Ping.Kind_ = MessageKind::Ping;
   Ping.Route_ = Home.Route_.bytes();
   Other.fromCaller(Ping);
   CHECK(!Other.Caller_); // the home lives
   Other.pass(std::chrono::seconds(6));
   Other.fromCaller(Ping);
   REQUIRE(Other.Caller_);
-  CHECK(Other.Caller_->Message_.Kind_ == Kind::Moved);
+  CHECK(Other.Caller_->Message_.Kind_ == MessageKind::Moved);
   Other.Route_ = Other.Sealed_;
   int Before = Other.ToUpstreams_;
   Other.fromCaller(Other.request(1));
   CHECK(Other.ToUpstreams_ == Before + 1);
   Other.fromCaller(Home.request(1)); // a copy under the old route
   CHECK(Other.ToUpstreams_ == Before + 1);
-  Other.give(PeerSeen{BalancerId{1}, HomeAt, Incarnation{42}, false});
+  Other.give(HeartbeatReceived{BalancerId{1}, HomeAt, Incarnation{42}, false});
   Other.fromCaller(Ping);
   CHECK(Other.Core_.counters().Moved_ == 1U);
 }
@@ -258,13 +259,13 @@
   B.pass(milliseconds(50));
   B.sleep(std::chrono::seconds(5));
   B.open();
-  CHECK(B.Asked_ == 1U);
+  CHECK(B.RereadId_ == 1U);
   CHECK(B.ToUpstreams_ == 0);
   CHECK(B.Caller_->Message_.Reason_ == ErrorKind::NotReady);
-  B.give(SourceConfirmed{}); // was under way before the pause
+  B.give(DeclarationUnchanged{}); // was under way before the pause
   B.open();
   CHECK(B.ToUpstreams_ == 0);
-  B.give(SourceConfirmed{B.Asked_});
+  B.give(DeclarationUnchanged{B.RereadId_});
   B.open();
   CHECK(B.ToUpstreams_ == 1);
 }
@@ -273,7 +274,7 @@
   Bench B;
   B.pass(milliseconds(50));
   B.sleep(std::chrono::seconds(5));
-  B.pass(std::chrono::seconds(3) + 2 * Balancer::TickEvery);
+  B.pass(std::chrono::seconds(3) + 2 * Balancer::TickInterval);
   B.open();
   CHECK(B.ToUpstreams_ == 1);
 }
@@ -281,9 +282,9 @@
 TEST_CASE("a declaration never gives way to an earlier one") {
   Bench B(42, declaration(5, 2));
   B.give(DeclarationRead{declaration(4, 1)});
-  CHECK(B.Core_.status().InForce_ == 5U);
+  CHECK(B.Core_.status().DeclarationVersion_ == 5U);
   B.give(DeclarationRead{declaration(6, 1)});
-  CHECK(B.Core_.status().InForce_ == 6U);
+  CHECK(B.Core_.status().DeclarationVersion_ == 6U);
 }
 
 TEST_CASE("the host list's leaving upstream gets no new flow") {
@@ -321,13 +322,13 @@
 
 TEST_CASE("a stopping balancer with a peer passes opens on") {
   Bench B;
-  B.give(PeerSeen{BalancerId{9}, Peer, Incarnation{77}, false});
-  B.give(StopAsked{});
+  B.give(HeartbeatReceived{BalancerId{9}, Peer, Incarnation{77}, false});
+  B.give(StopRequested{});
   B.open();
   CHECK(B.ToUpstreams_ == 0);
   REQUIRE(B.Peer_);
   CHECK(B.Peer_->To_ == Peer);
-  CHECK(B.Peer_->Datagram_.Inner_.Kind_ == Kind::Open);
+  CHECK(B.Peer_->Datagram_.Inner_.Kind_ == MessageKind::Open);
 }
 
 TEST_CASE("a datagram of an unknown upstream is dropped") {
@@ -335,7 +336,7 @@
   B.openFlow();
   B.fromCaller(B.request(1));
   Message M = B.Up_->Message_;
-  M.Kind_ = Kind::Answer;
+  M.Kind_ = MessageKind::Answer;
   int Before = B.ToCallers_;
   B.give(FromUpstream{Endpoint::v4(99, 1), M});
   CHECK(B.ToCallers_ == Before);
--- a/test/fleet-parties.cc
+++ b/test/fleet-parties.cc
@@ -23,27 +23,27 @@
   if (decode(Bytes.data(), Bytes.size(), M) != ErrorKind::None)
     std::abort();
   Host &U = Hosts_[H];
-  if (M.Kind_ == Kind::Open) {
-    M.Kind_ = Kind::Opened;
+  if (M.Kind_ == MessageKind::Open) {
+    M.Kind_ = MessageKind::Opened;
     auto Left = U.LeftAt_.find(M.Service_);
     if (Left != U.LeftAt_.end() && Now_ > Left->second + LeaveWithin)
       ++Seen_.LateNewWork_;
     if (Now_ < U.RefusesUntil_)
-      M.Kind_ = Kind::Refused;
+      M.Kind_ = MessageKind::Refused;
     else if (U.Only_ && *U.Only_ != M.Service_)
-      M.Kind_ = Kind::Reset;
+      M.Kind_ = MessageKind::Reset;
     else
       U.Flows_[raw(M.Flow_)] = M.Service_;
     return hostSends(H, From, M);
   }
-  if (M.Kind_ != Kind::Request)
+  if (M.Kind_ != MessageKind::Request)
     return;
   auto Known = U.Flows_.find(raw(M.Flow_));
   bool Holds = Known != U.Flows_.end() && M.Incarnation_ == U.Incarnation_;
   if (!Holds)
-    M.Kind_ = Kind::Reset;
+    M.Kind_ = MessageKind::Reset;
   else if (Now_ < U.RefusesUntil_)
-    M.Kind_ = Kind::Refused;
+    M.Kind_ = MessageKind::Refused;
   else
     return runRequest(H, From, M);
   M.Payload_ = {};
@@ -74,7 +74,7 @@
   Time Takes = milliseconds(Now_ < U.SlowUntil_ ? 700 : 2);
   at(Now_ + Takes, [this, H, From, Plain, Run, Parts, Uid] {
     Message Out = Plain;
-    Out.Kind_ = Kind::Answer;
+    Out.Kind_ = MessageKind::Answer;
     Out.Parts_ = Parts;
     for (std::uint16_t P = 0; P < Parts; ++P) {
       std::uint8_t Payload[16];
@@ -89,7 +89,7 @@
 
 void Fleet::hostSends(std::size_t H, const Endpoint &To, Message M) {
   M.Incarnation_ = Hosts_[H].Incarnation_;
-  M.Load_ = static_cast<std::uint32_t>(Hosts_[H].Flows_.size());
+  M.OpenFlows_ = static_cast<std::uint32_t>(Hosts_[H].Flows_.size());
   Wire Bytes = wireOf(M);
   Endpoint From = Hosts_[H].At_;
   int Copies = (draw() >= Options_.Loss_) + (draw() < Options_.Repeat_);
@@ -142,11 +142,11 @@
     return finished(C, Seen_.NoFinalAnswer_);
   std::uint8_t Payload[160] = {};
   Message M;
-  M.Kind_ = Who.Requesting_ ? Kind::Request : Kind::Open;
+  M.Kind_ = Who.Requesting_ ? MessageKind::Request : MessageKind::Open;
   M.Payload_ = {Payload, sizeof Payload};
   if (Who.Requesting_) {
     auto Parts = static_cast<std::uint16_t>(1 + Who.Uid_ % 4);
-    detail::write({Who.Uid_, raw(Who.Service_), Parts}, Payload);
+    detail::writeAppPayload({Who.Uid_, raw(Who.Service_), Parts}, Payload);
     M.Request_ = Who.Number_;
     M.Flags_ = Who.Once_ ? 0 : FlagRepeatable;
     M.Deadline_ = WallTime(Epoch + Who.Deadline_);
@@ -161,7 +161,7 @@
   if (Who.Flow_ != Of)
     return;
   Message M;
-  M.Kind_ = Kind::Ping;
+  M.Kind_ = MessageKind::Ping;
   M.Route_ = Who.Route_.bytes();
   send(C, M);
   at(Now_ + PingEvery, [this, C, Of] { ping(C, Of); });
@@ -199,7 +199,7 @@
     std::copy_n(M.Route_.Data_, M.Route_.Size_, Who.Route_.Bytes_.begin());
     Who.Route_.Size_ = M.Route_.Size_;
   };
-  if (M.Kind_ == Kind::Opened) {
+  if (M.Kind_ == MessageKind::Opened) {
     if (Who.Open_)
       return;
     Who.Open_ = true;
@@ -208,10 +208,11 @@
     ping(C, Who.Flow_);
     return nextRequest(C);
   }
-  if (M.Kind_ == Kind::Moved && Who.Open_)
+  if (M.Kind_ == MessageKind::Moved && Who.Open_)
     return KeepRoute();
   bool Broken = M.Reason_ == ErrorKind::FlowUnknown;
-  if (!Who.Open_ && (M.Kind_ == Kind::Refused || M.Kind_ == Kind::Reset)) {
+  if (!Who.Open_ &&
+      (M.Kind_ == MessageKind::Refused || M.Kind_ == MessageKind::Reset)) {
     std::uint64_t Turn = ++Who.Turn_;
     return at(Now_ + ResendEvery, [this, C, Turn] {
       if (Callers_[C].Turn_ == Turn)
@@ -220,7 +221,7 @@
   }
   if (!Who.Requesting_ || M.Request_ != Who.Number_)
     return;
-  if (M.Kind_ == Kind::Answer) {
+  if (M.Kind_ == MessageKind::Answer) {
     std::uint64_t Uid = 0;
     std::uint64_t Run = 0;
     std::memcpy(&Uid, M.Payload_.Data_, 8);
@@ -241,7 +242,7 @@
       AnsweredOnce_.insert(Who.Uid_);
     return finished(C, Seen_.Answered_);
   }
-  if (M.Kind_ != Kind::Refused && M.Kind_ != Kind::Reset)
+  if (M.Kind_ != MessageKind::Refused && M.Kind_ != MessageKind::Reset)
     return;
   if (!M.Route_.empty())
     KeepRoute();
--- a/test/fleet.cc
+++ b/test/fleet.cc
@@ -68,7 +68,7 @@
 }
 
 Fleet::Wire Fleet::wireOf(const Message &M) {
-  std::uint8_t Buffer[MaxDatagram + MaxHeader];
+  std::uint8_t Buffer[MaxDatagramSize + MaxHeaderSize];
   return {Buffer, Buffer + encode(M, Buffer, sizeof Buffer)};
 }
 
@@ -163,7 +163,7 @@
         at(flight(), [this, H, From, Bytes] { hostReceives(H, From, Bytes); });
       }
   } else if (const auto *Peer = std::get_if<ToPeer>(&A)) {
-    std::uint8_t Buffer[MaxDatagram + 2 * MaxHeader];
+    std::uint8_t Buffer[MaxDatagramSize + 2 * MaxHeaderSize];
     std::size_t Size =
         encodePeer(Peer->Datagram_, secret(), Buffer, sizeof Buffer);
     Wire Bytes(Buffer, Buffer + Size);
@@ -179,15 +179,16 @@
                 ErrorKind::None)
               give(J, E);
           });
-  } else if (const auto *New = std::get_if<InForce>(&A)) {
-    if (N.InForce_ && New->Declaration_->Version_ < N.InForce_->Version_)
+  } else if (const auto *New = std::get_if<DeclarationApplied>(&A)) {
+    if (N.AppliedDeclaration_ &&
+        New->Declaration_->Version_ < N.AppliedDeclaration_->Version_)
       ++Seen_.VersionsBack_;
-    N.InForce_ = New->Declaration_;
-  } else if (const auto *Told = std::get_if<TellSuccession>(&A)) {
+    N.AppliedDeclaration_ = New->Declaration_;
+  } else if (const auto *Told = std::get_if<BroadcastSuccession>(&A)) {
     Succession S = Told->Succession_;
     for (std::size_t J = 0; J < Nodes_.size(); ++J)
       if (J != I && Nodes_[J].Core_ && !cut(I, J))
-        toNode(J, [this, J, S] { give(J, SuccessionRead{S}); });
+        toNode(J, [this, J, S] { give(J, SuccessionReceived{S}); });
   } else if (std::get_if<Stopped>(&A)) {
     // The core is inside its own call, so it ends at the next step.
     Incarnation Of = N.Incarnation_;
@@ -196,7 +197,7 @@
         Nodes_[I].Core_.reset();
     });
   } else if (const auto *Asks = std::get_if<RereadSources>(&A)) {
-    reread(I, Asks->Asked_);
+    reread(I, Asks->RereadId_);
   }
 }
 
@@ -211,7 +212,7 @@
   for (std::size_t J = 0; J < Nodes_.size(); ++J)
     if (J != I && Nodes_[J].Core_ && !cut(I, J) && !cut(J, I))
       toNode(J, [this, I, J, Asked] {
-        DeclarationPtr Has = Nodes_[J].InForce_;
+        DeclarationPtr Has = Nodes_[J].AppliedDeclaration_;
         toNode(I, [this, I, Has, Asked] {
           if (Has)
             give(I, DeclarationRead{Has, Asked});
@@ -226,9 +227,9 @@
     Node &From = Nodes_[I];
     if (!From.Core_ || Now_ < From.FrozenUntil_)
       continue;
-    PeerSeen Beat{static_cast<BalancerId>(I + 1), From.Data_, From.Incarnation_,
-                  From.Leaving_};
-    DeclarationPtr Has = From.InForce_;
+    HeartbeatReceived Beat{static_cast<BalancerId>(I + 1), From.Data_,
+                           From.Incarnation_, From.Leaving_};
+    DeclarationPtr Has = From.AppliedDeclaration_;
     for (std::size_t J = 0; J < Nodes_.size(); ++J) {
       if (J == I || !Nodes_[J].Core_ || cut(I, J))
         continue;
@@ -303,7 +304,7 @@
     if (!N.Core_ || Now_ < N.FrozenUntil_)
       return;
     N.Leaving_ = true;
-    return give(I, StopAsked{});
+    return give(I, StopRequested{});
   case FaultKind::FreezeBalancer:
     N.FrozenUntil_ = Now_ + milliseconds(500 + F.Which_ % 3000);
     return;
@@ -367,7 +368,7 @@
       continue;
     Seen_.Adopted_ += N.Core_->counters().Adopted_;
     Seen_.Rehomed_ += N.Core_->counters().Rehomed_;
-    bool Has = N.InForce_ == Published_.back();
+    bool Has = N.AppliedDeclaration_ == Published_.back();
     Seen_.AllInForce_ = Seen_.AllInForce_ && Has;
   }
 }
--- a/test/fleet.h
+++ b/test/fleet.h
@@ -106,7 +106,7 @@
     Micros Skew_{};
     Time FrozenUntil_{};
     bool Leaving_ = false;
-    DeclarationPtr InForce_;
+    DeclarationPtr AppliedDeclaration_;
     std::vector<Work> Inbox_; ///< While frozen.
   };
   struct Host {
--- a/test/message-test.cc
+++ b/test/message-test.cc
@@ -11,7 +11,7 @@
   static const std::uint8_t RouteBytes[] = {1, 2, 3};
   static const std::uint8_t PayloadBytes[] = {9, 8, 7, 6};
   Message M;
-  M.Kind_ = Kind::Answer;
+  M.Kind_ = MessageKind::Answer;
   M.Service_ = ServiceId{7};
   M.Flow_ = FlowId{0xfedcba9876543210};
   M.Request_ = 70'000;
@@ -23,7 +23,7 @@
   M.Incarnation_ = Incarnation{5};
   M.Reason_ = ErrorKind::Overloaded;
   M.RetryAt_ = WallTime(Micros(12));
-  M.Load_ = 4;
+  M.OpenFlows_ = 4;
   M.Route_ = {RouteBytes, sizeof RouteBytes};
   M.Caller_ = parseEndpoint("192.0.2.1:4000");
   M.Payload_ = {PayloadBytes, sizeof PayloadBytes};
@@ -95,14 +95,14 @@
 
 TEST_CASE("a peer datagram is taken under either key and no other") {
   std::uint8_t Buffer[1024];
-  PeerDatagram D{PeerKind::Delegate, sample()};
+  PeerDatagram D{PeerMessageKind::Delegated, sample()};
   std::size_t Size = encodePeer(D, secret(), Buffer, sizeof Buffer);
   PeerDatagram Read;
   CHECK(decodePeer(Buffer, Size, {secret(), SecretKey{}}, Read) ==
         ErrorKind::None);
   CHECK(decodePeer(Buffer, Size, {SecretKey{}, secret()}, Read) ==
         ErrorKind::None);
-  CHECK(Read.Kind_ == PeerKind::Delegate);
+  CHECK(Read.Kind_ == PeerMessageKind::Delegated);
   CHECK(Read.Inner_ == sample());
   CHECK(decodePeer(Buffer, Size, {SecretKey{}, SecretKey{9}}, Read) ==
         ErrorKind::BadTag);
--- a/test/standin/upstream.cc
+++ b/test/standin/upstream.cc
@@ -87,16 +87,16 @@
     if (decode(Data, Size, M) != ErrorKind::None)
       return;
     switch (M.Kind_) {
-    case Kind::Open:
+    case MessageKind::Open:
       return open(From, M);
-    case Kind::Request:
+    case MessageKind::Request:
       return request(From, M);
-    case Kind::Ping:
+    case MessageKind::Ping:
       return ping(From, M);
-    case Kind::Close:
+    case MessageKind::Close:
       Flows_.erase(raw(M.Flow_));
       return;
-    case Kind::Cancel:
+    case MessageKind::Cancel:
       Cancelled_.insert(M.Attempt_);
       return;
     default:
@@ -106,16 +106,16 @@
 
   void open(const Endpoint &From, const Message &M) {
     if (Options_.Services_.count(raw(M.Service_)) == 0)
-      return reply(From, M, Kind::Reset);
+      return reply(From, M, MessageKind::Reset);
     auto [At, Fresh] = Flows_.try_emplace(raw(M.Flow_));
     if (!Fresh && At->second.Service_ != raw(M.Service_))
-      return reply(From, M, Kind::Reset);
+      return reply(From, M, MessageKind::Reset);
     Flow &F = At->second;
     F.Service_ = raw(M.Service_);
     F.HalfOpenUntil_ = std::chrono::steady_clock::now() + HalfOpenFor;
     F.Balancer_ = From;
     F.Caller_ = M.Caller_;
-    reply(From, M, Kind::Opened);
+    reply(From, M, MessageKind::Opened);
   }
 
   /// The flow that a packet belongs to, if we hold it in this incarnation.
@@ -134,7 +134,7 @@
 
   void request(const Endpoint &From, const Message &M) {
     if (!holds(From, M))
-      return reply(From, M, Kind::Reset);
+      return reply(From, M, MessageKind::Reset);
     Job J{M, readAppPayload(M.Payload_), From};
     J.Message_.Payload_ = {};
     J.Message_.Route_ = {};
@@ -145,7 +145,7 @@
       return;
     if (Running_ >= Options_.Slots_ && Waiting_.size() >= Options_.Queue_) {
       ++Refused_;
-      return reply(From, M, Kind::Refused);
+      return reply(From, M, MessageKind::Refused);
     }
     if (Once && Options_.Remembers_)
       Remembered_[M.Epoch_] = M.Attempt_;
@@ -195,11 +195,11 @@
 
   void answer(const Job &J) {
     Message Out = J.Message_;
-    Out.Kind_ = Kind::Answer;
+    Out.Kind_ = MessageKind::Answer;
     Out.Parts_ = std::max<std::uint16_t>(J.Payload_.Parts_, 1);
     for (std::uint16_t Part = 0; Part < Out.Parts_; ++Part) {
       std::uint8_t Body[AnswerSize] = {};
-      write({J.Payload_.Id_, raw(J.Message_.Service_), Part}, Body);
+      writeAppPayload({J.Payload_.Id_, raw(J.Message_.Service_), Part}, Body);
       Out.Part_ = Part;
       Out.Payload_ = {Body, sizeof Body};
       send(J.Balancer_, Out);
@@ -209,9 +209,9 @@
   void ping(const Endpoint &From, const Message &M) {
     Flow *F = holds(From, M);
     if (!F)
-      return reply(From, M, Kind::Reset);
+      return reply(From, M, MessageKind::Reset);
     Message Out = M;
-    Out.Kind_ = Kind::Pong;
+    Out.Kind_ = MessageKind::Pong;
     Out.Request_ = F->Pushes_;
     send(From, Out);
     for (std::uint32_t N = M.Request_ + 1; N <= F->Pushes_; ++N)
@@ -230,7 +230,7 @@
 
   void sendPush(std::uint64_t Id, const Flow &F, std::uint32_t Number) {
     Message Out;
-    Out.Kind_ = Kind::Push;
+    Out.Kind_ = MessageKind::Push;
     Out.Service_ = static_cast<ServiceId>(F.Service_);
     Out.Flow_ = static_cast<FlowId>(Id);
     Out.Request_ = Number;
@@ -238,12 +238,12 @@
     send(F.Balancer_, Out);
   }
 
-  void reply(const Endpoint &To, const Message &M, Kind K) {
+  void reply(const Endpoint &To, const Message &M, MessageKind K) {
     Message Out = M;
     Out.Kind_ = K;
     Out.Payload_ = {};
     Out.Route_ = {};
-    if (K == Kind::Refused)
+    if (K == MessageKind::Refused)
       Out.RetryAt_ =
           WallTime(std::chrono::milliseconds(wallMs()) + RefusedRetryAfter);
     send(To, Out);
@@ -251,8 +251,8 @@
 
   void send(const Endpoint &To, Message &Out) {
     Out.Incarnation_ = Incarnation_;
-    Out.Load_ = static_cast<std::uint32_t>(Flows_.size());
-    std::uint8_t Buffer[MaxDatagram + MaxHeader];
+    Out.OpenFlows_ = static_cast<std::uint32_t>(Flows_.size());
+    std::uint8_t Buffer[MaxDatagramSize + MaxHeaderSize];
     std::size_t Size = encode(Out, Buffer, sizeof Buffer);
     Socket_.send(To, Buffer, Size);
   }
