--- a/include/thymewall/flow-table.h
+++ b/include/thymewall/flow-table.h
@@ -20,17 +20,17 @@
 }
 
 /// One open flow at its home. A request number is used when it is more than
-/// 63 below `Highest_` or its bit is set; bit 0 stands for `Highest_`, and
-/// number 0 is the open.
+/// 63 below `HighestNumber_` or its bit is set; bit 0 stands for
+/// `HighestNumber_`, and number 0 is the open.
 struct FlowRow {
   using Key = FlowKey;
   static constexpr std::uint32_t WindowWidth = 64;
 
   FlowId Flow_{};
-  std::uint64_t Used_ = 1;
+  std::uint64_t UsedNumbers_ = 1;
   ServiceId Service_{};
   std::uint32_t Epoch_ = 0;
-  std::uint32_t Highest_ = 0;
+  std::uint32_t HighestNumber_ = 0;
   std::uint32_t Upstream_ = 0; ///< Index into the upstream table.
   RowLinks Links_;
 
@@ -38,21 +38,21 @@
   static std::uint64_t hash(const Key &K) {
     return hashPair(raw(K.Service_), raw(K.Flow_));
   }
-  bool numberUsed(std::uint32_t Number) const {
-    if (Number > Highest_)
+  bool isNumberUsed(std::uint32_t Number) const {
+    if (Number > HighestNumber_)
       return false;
-    std::uint32_t Age = Highest_ - Number;
-    return Age >= WindowWidth || ((Used_ >> Age) & 1) != 0;
+    std::uint32_t Offset = HighestNumber_ - Number;
+    return Offset >= WindowWidth || ((UsedNumbers_ >> Offset) & 1) != 0;
   }
-  void useNumber(std::uint32_t Number) {
-    if (Number > Highest_) {
-      std::uint32_t Shift = Number - Highest_;
-      Used_ = Shift >= WindowWidth ? 0 : Used_ << Shift;
-      Highest_ = Number;
+  void markNumberUsed(std::uint32_t Number) {
+    if (Number > HighestNumber_) {
+      std::uint32_t Shift = Number - HighestNumber_;
+      UsedNumbers_ = Shift >= WindowWidth ? 0 : UsedNumbers_ << Shift;
+      HighestNumber_ = Number;
     }
-    std::uint32_t Age = Highest_ - Number;
-    if (Age < WindowWidth)
-      Used_ |= std::uint64_t{1} << Age;
+    std::uint32_t Offset = HighestNumber_ - Number;
+    if (Offset < WindowWidth)
+      UsedNumbers_ |= std::uint64_t{1} << Offset;
   }
 };
 static_assert(sizeof(FlowRow) == 48,
--- a/include/thymewall/request-table.h
+++ b/include/thymewall/request-table.h
@@ -31,17 +31,17 @@
 
   RequestKey Key_;
   std::uint64_t Attempt_ = 0;
-  std::uint64_t PartsSeen_ = 0; ///< Bit per part.
+  std::uint64_t ReceivedParts_ = 0; ///< Bit per part.
   WallTime Deadline_{};
-  MonoTime Sent_{};
+  MonoTime SentAt_{};
   Endpoint Caller_;
   std::uint32_t Upstream_ = 0; ///< Index into the upstream table.
   std::uint16_t Parts_ = 0;
   std::uint8_t Tries_ = 0;
-  bool Once_ = false;     ///< Not repeatable; this balancer is the home.
-  bool Only_ = false;     ///< No other copy was or will be handed on.
-  bool NewRoute_ = false; ///< The answer brings the caller a new route.
-  bool Done_ = false;     ///< Kept to swallow copies of an answered request.
+  bool AtMostOnce_ = false; ///< Not repeatable; this balancer is the home.
+  bool SoleCopy_ = false;   ///< No other copy was or will be handed on.
+  bool NewRoute_ = false;   ///< The answer brings the caller a new route.
+  bool Completed_ = false;  ///< Kept to swallow copies of an answered request.
   RowLinks Links_;
 
   Key key() const { return Key_; }
@@ -50,12 +50,12 @@
 using RequestTable = TimedTable<RequestRow>;
 
 /// A request on its way to its flow's home, kept whole to be sent again.
-struct PassRow {
+struct ForwardRow {
   using Key = RequestKey;
 
   RequestKey Key_;
   Message Message_; ///< Byte fields are set by `message`.
-  Endpoint Home_;
+  Endpoint Destination_;
   PeerMessageKind Kind_ = PeerMessageKind::Forwarded;
   std::array<std::uint8_t, MaxRouteSize> Route_{};
   std::array<std::uint8_t, MaxDatagramSize> Payload_{};
@@ -72,7 +72,7 @@
   /// The stored message, borrowing from this row.
   Message message() const;
 };
-using PassTable = TimedTable<PassRow>;
+using ForwardTable = TimedTable<ForwardRow>;
 
 } // namespace thymewall
 
--- a/include/thymewall/timed-table.h
+++ b/include/thymewall/timed-table.h
@@ -17,7 +17,7 @@
   std::uint32_t HashNext_ = 0;
   std::uint32_t WheelNext_ = 0;
   std::uint32_t WheelPrev_ = 0;
-  std::uint32_t Due_ = 0; ///< Wheel tick at which the row expires.
+  std::uint32_t ExpiryTick_ = 0; ///< Wheel tick at which the row expires.
 };
 
 /// \tparam Row a type with a `RowLinks Links_` member, a `Key` type and the
@@ -26,167 +26,169 @@
 public:
   using Key = typename Row::Key;
 
-  /// \p Bound is the largest number of rows; a power of two of hash chains is
+  /// \p MaxRows is the largest number of rows; a power of two of hash chains is
   /// kept at about one row each.
-  explicit TimedTable(std::uint32_t Bound)
-      : Bound_(Bound), Rows_(1), Wheel_(WheelSize, 0) {
-    Chains_.assign(MinChains, 0);
+  explicit TimedTable(std::uint32_t MaxRows)
+      : MaxRows_(MaxRows), Rows_(1), Wheel_(WheelSize, 0) {
+    Buckets_.assign(MinBuckets, 0);
   }
 
-  Row *find(const Key &Wanted) {
-    std::uint32_t At = Chains_[chainOf(Wanted)];
-    while (At != 0 && !(Rows_[At].key() == Wanted))
-      At = Rows_[At].Links_.HashNext_;
-    return At == 0 ? nullptr : &Rows_[At];
+  Row *find(const Key &SearchKey) {
+    std::uint32_t Index = Buckets_[bucketOf(SearchKey)];
+    while (Index != 0 && !(Rows_[Index].key() == SearchKey))
+      Index = Rows_[Index].Links_.HashNext_;
+    return Index == 0 ? nullptr : &Rows_[Index];
   }
 
   /// Adds a row whose key is not in the table; null when the table is full.
   /// Earlier row pointers become invalid while the slab grows.
-  Row *insert(const Row &Value, std::uint32_t Due) {
+  Row *insert(const Row &Value, std::uint32_t ExpiryTick) {
     assert(find(Value.key()) == nullptr);
-    std::uint32_t At = take();
-    if (At == 0)
+    std::uint32_t Index = allocateRow();
+    if (Index == 0)
       return nullptr;
-    Rows_[At] = Value;
-    std::uint32_t &Head = Chains_[chainOf(Value.key())];
-    Rows_[At].Links_.HashNext_ = Head;
-    Head = At;
-    arm(At, Due);
+    Rows_[Index] = Value;
+    std::uint32_t &Head = Buckets_[bucketOf(Value.key())];
+    Rows_[Index].Links_.HashNext_ = Head;
+    Head = Index;
+    arm(Index, ExpiryTick);
     ++Size_;
-    return &Rows_[At];
+    return &Rows_[Index];
   }
 
   /// Moves a row's expiry to another tick.
-  void rearm(Row &Which, std::uint32_t Due) {
-    std::uint32_t At = indexOf(Which);
-    disarm(At);
-    arm(At, Due);
+  void rearm(Row &Entry, std::uint32_t ExpiryTick) {
+    std::uint32_t Index = indexOf(Entry);
+    disarm(Index);
+    arm(Index, ExpiryTick);
   }
 
-  void erase(Row &Which) {
-    std::uint32_t At = indexOf(Which);
-    disarm(At);
-    std::uint32_t *Link = &Chains_[chainOf(Which.key())];
-    while (*Link != At)
+  void erase(Row &Entry) {
+    std::uint32_t Index = indexOf(Entry);
+    disarm(Index);
+    std::uint32_t *Link = &Buckets_[bucketOf(Entry.key())];
+    while (*Link != Index)
       Link = &Rows_[*Link].Links_.HashNext_;
-    *Link = Rows_[At].Links_.HashNext_;
-    Rows_[At].Links_.HashNext_ = Free_;
-    Free_ = At;
+    *Link = Rows_[Index].Links_.HashNext_;
+    Rows_[Index].Links_.HashNext_ = FreeHead_;
+    FreeHead_ = Index;
     --Size_;
   }
 
-  /// Calls \p OnDue(row) for every row due at or before \p Now and erases it,
-  /// unless the call rearmed it. The call must not insert or erase rows.
-  template <typename Function> void expire(std::uint32_t Now, Function OnDue) {
-    if (Now <= Swept_)
+  /// Calls \p OnExpired(row) for every row due at or before \p Now and erases
+  /// it, unless the call rearmed it. The call must not insert or erase rows.
+  template <typename Function>
+  void expire(std::uint32_t Now, Function OnExpired) {
+    if (Now <= LastTick_)
       return;
-    std::uint32_t Steps = Now - Swept_;
+    std::uint32_t Steps = Now - LastTick_;
     if (Steps > WheelSize)
       Steps = WheelSize;
     for (std::uint32_t Tick = Now - Steps + 1; Tick != Now + 1; ++Tick)
-      sweep(Tick % WheelSize, Now, OnDue);
-    Swept_ = Now;
+      expireSlot(Tick % WheelSize, Now, OnExpired);
+    LastTick_ = Now;
   }
 
   /// Calls \p Visit(row) for every row; for rare whole-table work only.
   template <typename Function> void forEach(Function Visit) {
-    for (std::uint32_t Head : Chains_)
-      for (std::uint32_t At = Head; At != 0; At = Rows_[At].Links_.HashNext_)
-        Visit(Rows_[At]);
+    for (std::uint32_t Head : Buckets_)
+      for (std::uint32_t Index = Head; Index != 0;
+           Index = Rows_[Index].Links_.HashNext_)
+        Visit(Rows_[Index]);
   }
 
   std::size_t size() const { return Size_; }
-  std::size_t capacity() const { return Bound_; }
+  std::size_t maxRows() const { return MaxRows_; }
   /// Bytes held by the slab, the chains and the wheel.
   std::size_t memoryBytes() const {
     return Rows_.capacity() * sizeof(Row) +
-           (Chains_.capacity() + Wheel_.capacity()) * sizeof(std::uint32_t);
+           (Buckets_.capacity() + Wheel_.capacity()) * sizeof(std::uint32_t);
   }
 
 private:
   static constexpr std::uint32_t WheelSize = 4096;
-  static constexpr std::size_t MinChains = 1024;
+  static constexpr std::size_t MinBuckets = 1024;
 
-  std::uint32_t indexOf(const Row &Which) const {
-    return static_cast<std::uint32_t>(&Which - Rows_.data());
+  std::uint32_t indexOf(const Row &Entry) const {
+    return static_cast<std::uint32_t>(&Entry - Rows_.data());
   }
-  std::size_t chainOf(const Key &Wanted) const {
-    return Row::hash(Wanted) & (Chains_.size() - 1);
+  std::size_t bucketOf(const Key &SearchKey) const {
+    return Row::hash(SearchKey) & (Buckets_.size() - 1);
   }
 
-  std::uint32_t take() {
-    if (Free_ != 0) {
-      std::uint32_t At = Free_;
-      Free_ = Rows_[At].Links_.HashNext_;
-      return At;
+  std::uint32_t allocateRow() {
+    if (FreeHead_ != 0) {
+      std::uint32_t Index = FreeHead_;
+      FreeHead_ = Rows_[Index].Links_.HashNext_;
+      return Index;
     }
-    if (Size_ >= Bound_)
+    if (Size_ >= MaxRows_)
       return 0;
     Rows_.emplace_back();
-    if (Rows_.size() > Chains_.size())
+    if (Rows_.size() > Buckets_.size())
       rehash();
     return static_cast<std::uint32_t>(Rows_.size() - 1);
   }
 
   void rehash() {
-    std::vector<std::uint32_t> Old(Chains_.size() * 2, 0);
-    Old.swap(Chains_);
+    std::vector<std::uint32_t> Old(Buckets_.size() * 2, 0);
+    Old.swap(Buckets_);
     for (std::uint32_t Head : Old)
-      for (std::uint32_t At = Head; At != 0;) {
-        std::uint32_t Next = Rows_[At].Links_.HashNext_;
-        std::uint32_t &Chain = Chains_[chainOf(Rows_[At].key())];
-        Rows_[At].Links_.HashNext_ = Chain;
-        Chain = At;
-        At = Next;
+      for (std::uint32_t Index = Head; Index != 0;) {
+        std::uint32_t Next = Rows_[Index].Links_.HashNext_;
+        std::uint32_t &Bucket = Buckets_[bucketOf(Rows_[Index].key())];
+        Rows_[Index].Links_.HashNext_ = Bucket;
+        Bucket = Index;
+        Index = Next;
       }
   }
 
-  void arm(std::uint32_t At, std::uint32_t Due) {
-    if (Due <= Swept_)
-      Due = Swept_ + 1;
-    RowLinks &Links = Rows_[At].Links_;
-    std::uint32_t &Head = Wheel_[Due % WheelSize];
-    Links.Due_ = Due;
+  void arm(std::uint32_t Index, std::uint32_t ExpiryTick) {
+    if (ExpiryTick <= LastTick_)
+      ExpiryTick = LastTick_ + 1;
+    RowLinks &Links = Rows_[Index].Links_;
+    std::uint32_t &Head = Wheel_[ExpiryTick % WheelSize];
+    Links.ExpiryTick_ = ExpiryTick;
     Links.WheelPrev_ = 0;
     Links.WheelNext_ = Head;
     if (Head != 0)
-      Rows_[Head].Links_.WheelPrev_ = At;
-    Head = At;
+      Rows_[Head].Links_.WheelPrev_ = Index;
+    Head = Index;
   }
 
-  void disarm(std::uint32_t At) {
-    RowLinks &Links = Rows_[At].Links_;
+  void disarm(std::uint32_t Index) {
+    RowLinks &Links = Rows_[Index].Links_;
     if (Links.WheelNext_ != 0)
       Rows_[Links.WheelNext_].Links_.WheelPrev_ = Links.WheelPrev_;
     if (Links.WheelPrev_ != 0)
       Rows_[Links.WheelPrev_].Links_.WheelNext_ = Links.WheelNext_;
     else
-      Wheel_[Links.Due_ % WheelSize] = Links.WheelNext_;
+      Wheel_[Links.ExpiryTick_ % WheelSize] = Links.WheelNext_;
   }
 
   template <typename Function>
-  void sweep(std::uint32_t Slot, std::uint32_t Now, Function &OnDue) {
-    std::uint32_t At = Wheel_[Slot];
-    while (At != 0) {
-      Row &Which = Rows_[At];
-      std::uint32_t Next = Which.Links_.WheelNext_;
-      std::uint32_t Due = Which.Links_.Due_;
-      if (Due <= Now) {
-        OnDue(Which);
-        if (Which.Links_.Due_ == Due)
-          erase(Which);
+  void expireSlot(std::uint32_t Slot, std::uint32_t Now, Function &OnExpired) {
+    std::uint32_t Index = Wheel_[Slot];
+    while (Index != 0) {
+      Row &Entry = Rows_[Index];
+      std::uint32_t Next = Entry.Links_.WheelNext_;
+      std::uint32_t ExpiryTick = Entry.Links_.ExpiryTick_;
+      if (ExpiryTick <= Now) {
+        OnExpired(Entry);
+        if (Entry.Links_.ExpiryTick_ == ExpiryTick)
+          erase(Entry);
       }
-      At = Next;
+      Index = Next;
     }
   }
 
-  std::uint32_t Bound_;
+  std::uint32_t MaxRows_;
   std::vector<Row> Rows_; ///< Index 0 is never used.
-  std::vector<std::uint32_t> Chains_;
+  std::vector<std::uint32_t> Buckets_;
   std::vector<std::uint32_t> Wheel_;
-  std::uint32_t Free_ = 0;
+  std::uint32_t FreeHead_ = 0;
   std::uint32_t Size_ = 0;
-  std::uint32_t Swept_ = 0;
+  std::uint32_t LastTick_ = 0;
 };
 
 } // namespace thymewall
--- a/src/balancer-caller.cc
+++ b/src/balancer-caller.cc
@@ -11,7 +11,7 @@
 
 using namespace std::chrono_literals;
 
-constexpr Micros OpenTryFor = 300ms;
+constexpr Micros OpenAttemptTimeout = 300ms;
 constexpr double MaxRetryTokens = 20;
 constexpr std::uint8_t MaxOpenTries = 3;
 
@@ -35,15 +35,15 @@
   if (!Known || (M.Kind_ == MessageKind::Request && M.Request_ == 0))
     return drop(ErrorKind::Malformed);
   if (M.Kind_ == MessageKind::Request)
-    return request(M);
+    return handleRequest(M);
   Route R;
   if (!readRoute(M, R))
     return;
   if (M.Kind_ == MessageKind::Close)
     return closeFlow(M, R);
   if (M.Kind_ == MessageKind::Ping)
-    tellMoved(M, R);
-  forwardStateless(M, R);
+    notifyMoved(M, R);
+  relayToUpstream(M, R);
 }
 
 bool Balancer::Impl::readRoute(const Message &M, Route &R) {
@@ -55,17 +55,17 @@
       drop(ErrorKind::RouteRequired);
     return false;
   }
-  ErrorKind Why =
+  ErrorKind Reason =
       thymewall::open(M.Route_, Options_.Keys_, M.Service_, M.Flow_, R);
-  if (Why == ErrorKind::None)
+  if (Reason == ErrorKind::None)
     return true;
-  drop(Why);
+  drop(Reason);
   return false;
 }
 
 /// Index of the upstream that a route names. The address must not have gone to
 /// another upstream since.
-std::uint32_t Balancer::Impl::holder(const Route &R) {
+std::uint32_t Balancer::Impl::resolveUpstream(const Route &R) {
   std::uint32_t Index = Upstreams_.byId(R.Upstream_);
   std::uint32_t AtAddress = Upstreams_.byEndpoint(R.UpstreamAt_);
   bool Reused = AtAddress != UpstreamTable::None && AtAddress != Index;
@@ -74,7 +74,7 @@
   return Upstreams_.adopt(R.Upstream_, R.UpstreamAt_);
 }
 
-void Balancer::Impl::openFlow(Message M, bool MayPass) {
+void Balancer::Impl::openFlow(Message M, bool MayForward) {
   ++Counters_.Opens_;
   ServiceState *S = serviceState(M.Service_);
   M.Request_ = 0;
@@ -83,21 +83,21 @@
   if (!S || !ready())
     return refuse(M, ErrorKind::NotReady, Answer::NotRun);
   FlowKey Key{M.Service_, M.Flow_};
-  if (Stopping_ && MayPass) {
-    if (const Peer *P = openSuccessor(Key))
-      return toPeer(P->Data_, PeerMessageKind::Forwarded, M);
+  if (Stopping_ && MayForward) {
+    if (const Peer *P = successorForOpen(Key))
+      return sendToPeer(P->Data_, PeerMessageKind::Forwarded, M);
   }
   WallTime Latest = Now_.Wall_ + S->Service_.DeadlineAfter_;
   if (M.Deadline_ == WallTime{} || M.Deadline_ > Latest)
     M.Deadline_ = Latest;
   if (M.Deadline_ <= Now_.Wall_)
     return refuse(M, ErrorKind::DeadlinePassed, Answer::NotRun);
-  double Earned = S->RetryTokens_ + S->Service_.RetryBudget_;
-  S->RetryTokens_ = std::min(Earned, MaxRetryTokens);
+  double RetryTokens = S->RetryTokens_ + S->Service_.RetryBudget_;
+  S->RetryTokens_ = std::min(RetryTokens, MaxRetryTokens);
   placeFlow(M, *S);
 }
 
-const Eligible &Balancer::Impl::eligibleOf(ServiceState &S) {
+const Eligible &Balancer::Impl::eligibleUpstreams(ServiceState &S) {
   if (S.Generation_ == Upstreams_.generation())
     return S.Eligible_;
   Upstreams_.eligibleNow(S.Selected_, Now_.Mono_, S.Eligible_);
@@ -105,39 +105,39 @@
   return S.Eligible_;
 }
 
-std::uint32_t Balancer::Impl::choose(const FlowKey &Key,
-                                     const Eligible &Among) const {
-  Choice C{Key, Among, Upstreams_.rows(), Now_.Mono_};
-  return Among.Indexes_[Options_.Chooser_(C)];
+std::uint32_t Balancer::Impl::chooseUpstream(const FlowKey &Key,
+                                             const Eligible &Candidates) const {
+  Choice C{Key, Candidates, Upstreams_.rows(), Now_.Mono_};
+  return Candidates.Indexes_[Options_.Chooser_(C)];
 }
 
 /// Chooses an upstream and sends it the open. A flow that this balancer has
 /// placed before (its `opened` was lost) goes to the same upstream.
 void Balancer::Impl::placeFlow(const Message &M, ServiceState &S) {
   FlowKey Key{M.Service_, M.Flow_};
-  FlowRow *Placed = Flows_.find(Key);
-  std::uint32_t Index = Placed ? Placed->Upstream_ : UpstreamTable::None;
-  if (Placed && Index == UpstreamTable::None)
+  FlowRow *Existing = Flows_.find(Key);
+  std::uint32_t Index = Existing ? Existing->Upstream_ : UpstreamTable::None;
+  if (Existing && Index == UpstreamTable::None)
     return drop(ErrorKind::NumberUsed); // a late copy of a closed flow's open
   if (Index == UpstreamTable::None) {
-    const Eligible &Among = eligibleOf(S);
-    if (Among.empty())
+    const Eligible &Candidates = eligibleUpstreams(S);
+    if (Candidates.empty())
       return refuse(M, ErrorKind::NoUpstream, Answer::NotRun);
-    Index = choose(Key, Among);
+    Index = chooseUpstream(Key, Candidates);
   }
   RequestRow Row;
   Row.Key_ = keyOf(M);
   Row.Attempt_ = nextAttempt();
   Row.Deadline_ = M.Deadline_;
-  Row.Sent_ = Now_.Mono_;
+  Row.SentAt_ = Now_.Mono_;
   Row.Caller_ = M.Caller_;
   Row.Upstream_ = Index;
   Row.Tries_ = 1;
-  WallTime TryUntil = std::min(M.Deadline_, Now_.Wall_ + OpenTryFor);
+  WallTime TryUntil = std::min(M.Deadline_, Now_.Wall_ + OpenAttemptTimeout);
   if (!Requests_.insert(Row, requestDue(TryUntil)))
     return refuse(M, ErrorKind::Overloaded, Answer::NotRun);
   // Counted from now on, so that a burst of opens does not herd.
-  if (!Placed)
+  if (!Existing)
     ++Upstreams_[Index].OwnFlows_;
   ++Upstreams_[Index].InFlight_;
   sendOpen(Row);
@@ -151,63 +151,63 @@
   M.Deadline_ = Row.Deadline_;
   M.Attempt_ = Row.Attempt_;
   M.Caller_ = Row.Caller_;
-  toUpstream(Upstreams_[Row.Upstream_].At_, M);
+  sendToUpstream(Upstreams_[Row.Upstream_].At_, M);
 }
 
 /// Takes an open to another upstream, within the retry budget and its deadline,
 /// or gives it up. An open that is given up has run nothing.
-void Balancer::Impl::retryOpen(RequestRow &Row, ErrorKind Why) {
+void Balancer::Impl::retryOpen(RequestRow &Row, ErrorKind Reason) {
   ServiceState *S = serviceState(Row.Key_.Service_);
   UpstreamRow &Last = Upstreams_[Row.Upstream_];
   FlowKey Key{Row.Key_.Service_, Row.Key_.Flow_};
-  bool Placed = Flows_.find(Key) != nullptr;
+  bool HasFlow = Flows_.find(Key) != nullptr;
   --Last.InFlight_;
-  if (!Placed)
+  if (!HasFlow)
     --Last.OwnFlows_;
-  bool May = S && !Placed && Row.Tries_ < MaxOpenTries &&
-             S->RetryTokens_ >= 1 && Now_.Wall_ < Row.Deadline_;
-  Eligible Others;
-  if (May)
-    for (std::uint32_t Index : eligibleOf(*S).Indexes_)
+  bool MayRetry = S && !HasFlow && Row.Tries_ < MaxOpenTries &&
+                  S->RetryTokens_ >= 1 && Now_.Wall_ < Row.Deadline_;
+  Eligible Alternatives;
+  if (MayRetry)
+    for (std::uint32_t Index : eligibleUpstreams(*S).Indexes_)
       if (Index != Row.Upstream_)
-        Others.add(Index, Upstreams_[Index].Slots_);
-  if (Others.empty())
-    return refuseRow(Row, Why, Answer::NotRun);
+        Alternatives.add(Index, Upstreams_[Index].Slots_);
+  if (Alternatives.empty())
+    return refuseRow(Row, Reason, Answer::NotRun);
   S->RetryTokens_ -= 1;
   ++Counters_.Retries_;
-  Row.Upstream_ = choose(Key, Others);
+  Row.Upstream_ = chooseUpstream(Key, Alternatives);
   Row.Attempt_ = nextAttempt();
   ++Row.Tries_;
   ++Upstreams_[Row.Upstream_].OwnFlows_;
   ++Upstreams_[Row.Upstream_].InFlight_;
-  Requests_.rearm(Row,
-                  requestDue(std::min(Row.Deadline_, Now_.Wall_ + OpenTryFor)));
+  Requests_.rearm(Row, requestDue(std::min(Row.Deadline_,
+                                           Now_.Wall_ + OpenAttemptTimeout)));
   sendOpen(Row);
 }
 
-void Balancer::Impl::request(const Message &M) {
+void Balancer::Impl::handleRequest(const Message &M) {
   ++Counters_.Requests_;
   Route R;
   if (!readRoute(M, R))
     return;
   if (M.repeatable()) {
     ++Counters_.ResolvedBy_[static_cast<std::size_t>(ResolvedBy::Route)];
-    return forwardRepeatable(M, R);
+    return dispatchRepeatable(M, R);
   }
   if (isHome(R) || !has(Mechanism::HomeOnly)) {
     ++Counters_.ResolvedBy_[static_cast<std::size_t>(ResolvedBy::Home)];
     return submit(M, R);
   }
   ++Counters_.ResolvedBy_[static_cast<std::size_t>(ResolvedBy::Passed)];
-  if (const Succession *S = successionOf(R); S && mayAdopt(M, R)) {
+  if (const Succession *S = findSuccession(R); S && mayAdopt(M, R)) {
     const Successor &Next = successorOf(*S, {M.Service_, M.Flow_});
     if (Next.Incarnation_ == Options_.Incarnation_)
       return adopt(M, R);
-    return pass(M, R, Next.Data_, PeerMessageKind::Forwarded);
+    return forwardToPeer(M, R, Next.Data_, PeerMessageKind::Forwarded);
   }
   if (R.HomeAt_ == Options_.Data_) // an earlier process at this address
     return rehome(M, R, ErrorKind::HomeUnreachable);
-  pass(M, R, R.HomeAt_, PeerMessageKind::Forwarded);
+  forwardToPeer(M, R, R.HomeAt_, PeerMessageKind::Forwarded);
 }
 
 bool Balancer::Impl::overloaded(const ServiceState &S,
@@ -217,26 +217,27 @@
 
 /// Other balancers may hold copies of a repeatable request, so the answer of
 /// one that gives it up is never `not run`.
-void Balancer::Impl::forwardRepeatable(const Message &M, const Route &R) {
+void Balancer::Impl::dispatchRepeatable(const Message &M, const Route &R) {
   if (M.Deadline_ != WallTime{} && M.Deadline_ <= Now_.Wall_)
     return refuse(M, ErrorKind::DeadlinePassed, Answer::OutcomeUnknown);
-  std::uint32_t Index = holder(R);
+  std::uint32_t Index = resolveUpstream(R);
   if (Index == UpstreamTable::None)
     return refuse(M, ErrorKind::FlowUnknown, Answer::OutcomeUnknown);
-  if (RequestRow *Before = Requests_.find(keyOf(M)))
-    finish(*Before); // a retry: the new attempt replaces the old one
+  if (RequestRow *Previous = Requests_.find(keyOf(M)))
+    removeRequest(*Previous); // a retry: the new attempt replaces the old one
   if (overloaded(*serviceState(M.Service_), Upstreams_[Index]))
     return refuse(M, ErrorKind::Overloaded, Answer::OutcomeUnknown);
-  Handing How;
-  How.NewRoute_ = moveHere(R) != nullptr;
-  if (!handOn(M, R, Index, How))
+  DispatchOptions Options;
+  Options.NewRoute_ = takeOverFlow(R) != nullptr;
+  if (!dispatchRequest(M, R, Index, Options))
     refuse(M, ErrorKind::Overloaded, Answer::OutcomeUnknown);
 }
 
 /// Sends a request to its upstream and remembers it until its last part or its
 /// deadline. False, with nothing sent, when the table is full.
-bool Balancer::Impl::handOn(const Message &M, const Route &R,
-                            std::uint32_t Upstream, Handing How) {
+bool Balancer::Impl::dispatchRequest(const Message &M, const Route &R,
+                                     std::uint32_t Upstream,
+                                     DispatchOptions Options) {
   const ServiceState *S = serviceState(M.Service_);
   RequestRow Row;
   Row.Key_ = keyOf(M);
@@ -244,15 +245,15 @@
   Row.Deadline_ = M.Deadline_ == WallTime{}
                       ? Now_.Wall_ + S->Service_.DeadlineAfter_
                       : M.Deadline_;
-  Row.Sent_ = Now_.Mono_;
+  Row.SentAt_ = Now_.Mono_;
   Row.Caller_ = M.Caller_;
   Row.Upstream_ = Upstream;
-  Row.Once_ = How.Once_;
-  Row.Only_ = How.Only_;
-  Row.NewRoute_ = How.NewRoute_;
-  WallTime GiveUpAt =
-      std::min(Row.Deadline_, Now_.Wall_ + LongestDeadlineSeen_ + ClockSlack);
-  if (!Requests_.insert(Row, requestDue(GiveUpAt)))
+  Row.AtMostOnce_ = Options.AtMostOnce_;
+  Row.SoleCopy_ = Options.SoleCopy_;
+  Row.NewRoute_ = Options.NewRoute_;
+  WallTime Expiry =
+      std::min(Row.Deadline_, Now_.Wall_ + MaxServiceDeadline_ + MaxClockSkew);
+  if (!Requests_.insert(Row, requestDue(Expiry)))
     return false;
   ++Upstreams_[Upstream].InFlight_;
   Message Out = M;
@@ -260,58 +261,59 @@
   Out.Deadline_ = Row.Deadline_;
   Out.Attempt_ = Row.Attempt_;
   Out.Incarnation_ = R.UpstreamIncarnation_;
-  toUpstream(R.UpstreamAt_, Out);
+  sendToUpstream(R.UpstreamAt_, Out);
   return true;
 }
 
-void Balancer::Impl::forwardStateless(const Message &M, const Route &R) {
-  if (holder(R) == UpstreamTable::None)
+void Balancer::Impl::relayToUpstream(const Message &M, const Route &R) {
+  if (resolveUpstream(R) == UpstreamTable::None)
     return drop(ErrorKind::FlowUnknown);
   ++Counters_.ResolvedBy_[static_cast<std::size_t>(ResolvedBy::Route)];
   if (FlowRow *Row = isHome(R) ? Flows_.find({M.Service_, M.Flow_}) : nullptr)
-    touch(*Row);
+    refreshIdleTimeout(*Row);
   Message Out = M;
   Out.Route_ = {};
   Out.Incarnation_ = R.UpstreamIncarnation_;
-  toUpstream(R.UpstreamAt_, Out);
+  sendToUpstream(R.UpstreamAt_, Out);
 }
 
 /// The upstream and the home both learn of a close. A lost copy is made good by
 /// the flow's idle deadline.
 void Balancer::Impl::closeFlow(const Message &M, const Route &R) {
-  forwardStateless(M, R);
+  relayToUpstream(M, R);
   if (!isHome(R))
-    return toPeer(R.HomeAt_, PeerMessageKind::Forwarded, M);
+    return sendToPeer(R.HomeAt_, PeerMessageKind::Forwarded, M);
   FlowRow *Row = Flows_.find({M.Service_, M.Flow_});
   if (Row && Row->Epoch_ == R.Epoch_)
-    closeRow(*Row);
+    markFlowClosed(*Row);
 }
 
-void Balancer::Impl::drop(ErrorKind Why) {
-  ++Counters_.Errors_[static_cast<std::size_t>(Why)];
+void Balancer::Impl::drop(ErrorKind Reason) {
+  ++Counters_.Errors_[static_cast<std::size_t>(Reason)];
 }
 
-/// Tells the caller that its request is given up, at once. \p Bound is the
-/// strongest answer that is true here; the table of kinds may lower it.
-void Balancer::Impl::refuse(const Message &M, ErrorKind Why, Answer Bound,
-                            Bytes NewRoute) {
-  ++Counters_.Errors_[static_cast<std::size_t>(Why)];
-  const ErrorRow &Row = errorRow(Why);
-  bool May = Bound == Answer::NotRun || !has(Mechanism::TruthfulNotRun);
-  bool NotRun = May && Row.Answer_ == Answer::NotRun;
+/// Tells the caller that its request is given up, at once. \p StrongestAnswer
+/// is the strongest answer that is true here; the table of kinds may lower it.
+void Balancer::Impl::refuse(const Message &M, ErrorKind Reason,
+                            Answer StrongestAnswer, Bytes NewRoute) {
+  ++Counters_.Errors_[static_cast<std::size_t>(Reason)];
+  const ErrorRow &Row = errorRow(Reason);
+  bool MaySayNotRun =
+      StrongestAnswer == Answer::NotRun || !has(Mechanism::TruthfulNotRun);
+  bool NotRun = MaySayNotRun && Row.Answer_ == Answer::NotRun;
   ++(NotRun ? Counters_.NotRun_ : Counters_.OutcomeUnknown_);
   Message Out = makeReply(M, MessageKind::Refused);
   Out.Flags_ = NotRun ? FlagNotRun : FlagOutcomeUnknown;
-  Out.Reason_ = Why;
-  auto Spread =
-      std::chrono::duration_cast<Micros>(Row.RetryAfter_ * (1 + draw()));
+  Out.Reason_ = Reason;
+  auto Spread = std::chrono::duration_cast<Micros>(Row.RetryAfter_ *
+                                                   (1 + randomFraction()));
   Out.RetryAt_ = std::max(M.RetryAt_, Now_.Wall_ + Spread);
   Out.Route_ = NewRoute;
   (*Sink_)(ToCaller{M.Caller_, Out});
 }
 
-void Balancer::Impl::refuseRow(const RequestRow &Row, ErrorKind Why,
-                               Answer Bound, WallTime RetryAt) {
+void Balancer::Impl::refuseRow(const RequestRow &Row, ErrorKind Reason,
+                               Answer StrongestAnswer, WallTime RetryAt) {
   Message M;
   M.Service_ = Row.Key_.Service_;
   M.Flow_ = Row.Key_.Flow_;
@@ -319,17 +321,17 @@
   M.Caller_ = Row.Caller_;
   M.RetryAt_ = RetryAt;
   // An open has no effect, so one that is given up has run nothing.
-  if (M.Request_ == 0 && Why == ErrorKind::NoAnswer)
-    Why = ErrorKind::NoUpstream;
-  refuse(M, Why, Bound);
+  if (M.Request_ == 0 && Reason == ErrorKind::NoAnswer)
+    Reason = ErrorKind::NoUpstream;
+  refuse(M, Reason, StrongestAnswer);
 }
 
-void Balancer::Impl::toUpstream(const Endpoint &To, const Message &M) {
+void Balancer::Impl::sendToUpstream(const Endpoint &To, const Message &M) {
   (*Sink_)(ToUpstream{To, M});
 }
 
-void Balancer::Impl::toPeer(const Endpoint &To, PeerMessageKind Kind,
-                            const Message &M) {
+void Balancer::Impl::sendToPeer(const Endpoint &To, PeerMessageKind Kind,
+                                const Message &M) {
   (*Sink_)(ToPeer{To, PeerDatagram{Kind, M}});
 }
 
--- a/src/balancer-home.cc
+++ b/src/balancer-home.cc
@@ -12,71 +12,73 @@
 using namespace std::chrono_literals;
 
 /// Ticks of one second.
-constexpr std::uint32_t FlowIdleTicks = 3600;
+constexpr std::uint32_t FlowIdleTimeoutTicks = 3600;
 /// A closed flow's numbers are kept until no copy of a request can come any
 /// more: the longest deadline (60 s), clock slack and some.
-constexpr std::uint32_t ClosedFlowTicks = 70;
+constexpr std::uint32_t ClosedFlowRetentionTicks = 70;
 /// A pass is repeated after 20, 40 and 80 ms and given up 80 ms later: beyond
 /// any round trip in a region, well within a request's deadline.
-constexpr std::uint32_t PassTryTicks[] = {4, 8, 16, 16};
-constexpr std::uint8_t MaxPassTries = 4;
-constexpr Micros SuspectFor = 10s;
+constexpr std::uint32_t ForwardTimeoutTicks[] = {4, 8, 16, 16};
+constexpr std::uint8_t MaxForwardTries = 4;
+constexpr Micros SuspicionTimeout = 10s;
 
 } // namespace
 
 /// Makes this process the home of a flow under a new epoch; null when the
 /// table is full.
-FlowRow *Balancer::Impl::becomeHome(const FlowKey &Key,
+FlowRow *Balancer::Impl::createFlow(const FlowKey &Key,
                                     std::uint32_t Upstream) {
   FlowRow Row;
   Row.Flow_ = Key.Flow_;
   Row.Service_ = Key.Service_;
   Row.Upstream_ = Upstream;
-  Row.Epoch_ = ++Epochs_;
-  FlowRow *Placed = Flows_.insert(Row, flowTick(Now_.Mono_) + FlowIdleTicks);
-  if (Placed)
+  Row.Epoch_ = ++LastEpoch_;
+  FlowRow *Inserted =
+      Flows_.insert(Row, flowTick(Now_.Mono_) + FlowIdleTimeoutTicks);
+  if (Inserted)
     ++Upstreams_[Upstream].OwnFlows_;
-  return Placed;
+  return Inserted;
 }
 
 /// The row of a flow that a route shows to be at \p Upstream. A row that we
 /// made for a repeat of the flow's open, at another upstream, lost that race:
 /// the caller keeps to the first `opened`, so nothing was sent under it.
-FlowRow *Balancer::Impl::homeOf(const FlowKey &Key, std::uint32_t Upstream) {
+FlowRow *Balancer::Impl::findOrCreateFlow(const FlowKey &Key,
+                                          std::uint32_t Upstream) {
   FlowRow *Row = Flows_.find(Key);
   if (!Row)
-    return becomeHome(Key, Upstream);
+    return createFlow(Key, Upstream);
   bool Closed = Row->Upstream_ == UpstreamTable::None;
   if (Closed || Row->Upstream_ == Upstream)
     return Row;
-  forgetFlow(*Row);
+  releaseFlow(*Row);
   Row->Upstream_ = Upstream;
-  Row->Epoch_ = ++Epochs_;
+  Row->Epoch_ = ++LastEpoch_;
   ++Upstreams_[Upstream].OwnFlows_;
   return Row;
 }
 
-void Balancer::Impl::touch(FlowRow &Row) {
+void Balancer::Impl::refreshIdleTimeout(FlowRow &Row) {
   if (Row.Upstream_ != UpstreamTable::None)
-    Flows_.rearm(Row, flowTick(Now_.Mono_) + FlowIdleTicks);
+    Flows_.rearm(Row, flowTick(Now_.Mono_) + FlowIdleTimeoutTicks);
 }
 
 /// Takes a flow off its upstream's count. Its numbers stay for a while.
-void Balancer::Impl::closeRow(FlowRow &Row) {
-  forgetFlow(Row);
+void Balancer::Impl::markFlowClosed(FlowRow &Row) {
+  releaseFlow(Row);
   Row.Upstream_ = UpstreamTable::None;
-  Flows_.rearm(Row, flowTick(Now_.Mono_) + ClosedFlowTicks);
+  Flows_.rearm(Row, flowTick(Now_.Mono_) + ClosedFlowRetentionTicks);
 }
 
-void Balancer::Impl::forgetFlow(FlowRow &Row) {
+void Balancer::Impl::releaseFlow(FlowRow &Row) {
   if (Row.Upstream_ == UpstreamTable::None)
     return;
   std::uint32_t &Count = Upstreams_[Row.Upstream_].OwnFlows_;
   Count -= Count == 0 ? 0 : 1;
 }
 
-SealedRoute Balancer::Impl::routeOf(const FlowRow &Row,
-                                    Incarnation Upstream) const {
+SealedRoute Balancer::Impl::sealRoute(const FlowRow &Row,
+                                      Incarnation Upstream) const {
   const UpstreamRow &U = Upstreams_.rows()[Row.Upstream_];
   Route R;
   R.Service_ = Row.Service_;
@@ -99,128 +101,130 @@
   if (Lost && (has(Mechanism::HomeEpoch) && has(Mechanism::HomeOnly)))
     return rehome(M, R, ErrorKind::NumberUsed);
   if (!Row)
-    Row = becomeHome({M.Service_, M.Flow_}, holder(R));
-  submitToRow(*Row, M, R, Origin::Own);
+    Row = createFlow({M.Service_, M.Flow_}, resolveUpstream(R));
+  submitToFlow(*Row, M, R, RequestOrigin::Own);
 }
 
 /// True once this process has named its successors: from then on they alone
 /// hand requests on, and only they can say what was not run.
-bool Balancer::Impl::stoppedHandingOn() const {
-  return !StopBySuccessors_.Successors_.empty() &&
-         has(Mechanism::StopHandingOn);
+bool Balancer::Impl::hasNamedSuccessors() const {
+  return !OwnSuccession_.Successors_.empty() && has(Mechanism::StopHandingOn);
 }
 
-void Balancer::Impl::submitToRow(FlowRow &Row, const Message &M, const Route &R,
-                                 Origin From) {
+void Balancer::Impl::submitToFlow(FlowRow &Row, const Message &M,
+                                  const Route &R, RequestOrigin Origin) {
   if (Requests_.find({M.Service_, M.Request_, M.Flow_}))
     return; // a copy; the first one is or will be answered
-  WallTime Furthest = Now_.Wall_ + LongestDeadlineSeen_ + ClockSlack;
-  if (M.Deadline_ > Furthest)
+  WallTime LatestDeadline = Now_.Wall_ + MaxServiceDeadline_ + MaxClockSkew;
+  if (M.Deadline_ > LatestDeadline)
     return refuse(M, ErrorKind::DeadlineTooFar, Answer::OutcomeUnknown);
   std::uint32_t Index = Row.Upstream_;
   bool Closed = Index == UpstreamTable::None;
-  bool Used = has(Mechanism::NumberWindow) && Row.numberUsed(M.Request_);
+  bool Used = has(Mechanism::NumberWindow) && Row.isNumberUsed(M.Request_);
   bool Replays = !Closed && Upstreams_[Index].Remembers_;
-  if (Used && From == Origin::Own && stoppedHandingOn())
+  if (Used && Origin == RequestOrigin::Own && hasNamedSuccessors())
     return delegate(M, R, PeerMessageKind::Duplicate);
   if (Used && !Replays)
     return refuse(M, ErrorKind::NumberUsed, Answer::OutcomeUnknown);
-  Row.useNumber(M.Request_);
-  touch(Row);
+  Row.markNumberUsed(M.Request_);
+  refreshIdleTimeout(Row);
   // Where the upstream remembers, other balancers may send it a copy too.
-  bool Only = !Used && !Replays;
-  if (!Used && From == Origin::Own && stoppedHandingOn())
+  bool SoleCopy = !Used && !Replays;
+  if (!Used && Origin == RequestOrigin::Own && hasNamedSuccessors())
     return delegate(M, R, PeerMessageKind::Delegated);
-  Answer Bound = Only ? Answer::NotRun : Answer::OutcomeUnknown;
-  if (Closed || holder(R) != Index)
-    return refuse(M, ErrorKind::FlowUnknown, Bound);
+  Answer StrongestAnswer = SoleCopy ? Answer::NotRun : Answer::OutcomeUnknown;
+  if (Closed || resolveUpstream(R) != Index)
+    return refuse(M, ErrorKind::FlowUnknown, StrongestAnswer);
   if (M.Deadline_ != WallTime{} && M.Deadline_ <= Now_.Wall_)
-    return refuse(M, ErrorKind::DeadlinePassed, Bound);
+    return refuse(M, ErrorKind::DeadlinePassed, StrongestAnswer);
   const ServiceState *S = serviceState(M.Service_);
   if (!S)
-    return refuse(M, ErrorKind::UnknownService, Bound);
+    return refuse(M, ErrorKind::UnknownService, StrongestAnswer);
   Message Out = M;
   Out.Epoch_ = hashPair(raw(M.Flow_), M.Request_);
-  Handing How{true, Only, From != Origin::Own};
-  if (overloaded(*S, Upstreams_[Index]) || !handOn(Out, R, Index, How))
-    refuse(M, ErrorKind::Overloaded, Bound);
+  DispatchOptions Options{true, SoleCopy, Origin != RequestOrigin::Own};
+  if (overloaded(*S, Upstreams_[Index]) ||
+      !dispatchRequest(Out, R, Index, Options))
+    refuse(M, ErrorKind::Overloaded, StrongestAnswer);
 }
 
 /// Sends a request on to its home and keeps it until the home has confirmed it.
-/// From here on this balancer can't know whether it was run.
-void Balancer::Impl::pass(const Message &M, const Route &R,
-                          const Endpoint &Home, PeerMessageKind Kind) {
+/// Origin here on this balancer can't know whether it was run.
+void Balancer::Impl::forwardToPeer(const Message &M, const Route &R,
+                                   const Endpoint &Destination,
+                                   PeerMessageKind Kind) {
   RequestKey Key{M.Service_, M.Request_, M.Flow_};
-  if (Passes_.find(Key))
+  if (Forwards_.find(Key))
     return;
-  if (Kind == PeerMessageKind::Forwarded && Home == R.HomeAt_ &&
-      suspects(R.Home_))
+  if (Kind == PeerMessageKind::Forwarded && Destination == R.HomeAt_ &&
+      isSuspect(R.Home_))
     return rehome(M, R, ErrorKind::HomeUnreachable);
-  PassRow Row;
+  ForwardRow Row;
   Row.Key_ = Key;
-  Row.Home_ = Home;
+  Row.Destination_ = Destination;
   Row.Kind_ = Kind;
   Row.Tries_ = 1;
   Row.store(M);
-  if (!Passes_.insert(Row, requestTick(Now_.Mono_) + PassTryTicks[0]))
+  if (!Forwards_.insert(Row, requestTick(Now_.Mono_) + ForwardTimeoutTicks[0]))
     return refuse(M, ErrorKind::Overloaded, Answer::OutcomeUnknown);
-  toPeer(Home, Kind, M);
+  sendToPeer(Destination, Kind, M);
 }
 
-void Balancer::Impl::expirePasses() {
+void Balancer::Impl::expireForwards() {
   std::uint32_t Tick = requestTick(Now_.Mono_);
-  Passes_.expire(Tick, [this, Tick](PassRow &Row) {
-    if (Row.Tries_ == MaxPassTries)
-      return givePassUp(Row, ErrorKind::HomeUnreachable);
-    Passes_.rearm(Row, Tick + PassTryTicks[Row.Tries_]);
+  Forwards_.expire(Tick, [this, Tick](ForwardRow &Row) {
+    if (Row.Tries_ == MaxForwardTries)
+      return abandonForward(Row, ErrorKind::HomeUnreachable);
+    Forwards_.rearm(Row, Tick + ForwardTimeoutTicks[Row.Tries_]);
     ++Row.Tries_;
-    toPeer(Row.Home_, Row.Kind_, Row.message());
+    sendToPeer(Row.Destination_, Row.Kind_, Row.message());
   });
 }
 
-void Balancer::Impl::givePassUp(PassRow &Row, ErrorKind Why) {
+void Balancer::Impl::abandonForward(ForwardRow &Row, ErrorKind Reason) {
   Message M = Row.message();
   Route R;
   if (thymewall::open(M.Route_, Options_.Keys_, M.Service_, M.Flow_, R) ==
       ErrorKind::None) {
-    if (Row.Kind_ == PeerMessageKind::Forwarded && Row.Home_ == R.HomeAt_)
-      suspect(R.Home_);
-    rehome(M, R, Why);
+    if (Row.Kind_ == PeerMessageKind::Forwarded &&
+        Row.Destination_ == R.HomeAt_)
+      markSuspect(R.Home_);
+    rehome(M, R, Reason);
   }
 }
 
-bool Balancer::Impl::suspects(Incarnation Home) const {
+bool Balancer::Impl::isSuspect(Incarnation Home) const {
   for (const SuspectHome &S : SuspectHomes_)
     if (S.Home_ == Home)
       return true;
   return false;
 }
 
-void Balancer::Impl::suspect(Incarnation Home) {
-  if (!suspects(Home))
-    SuspectHomes_.push_back({Home, Now_.Mono_ + SuspectFor});
+void Balancer::Impl::markSuspect(Incarnation Home) {
+  if (!isSuspect(Home))
+    SuspectHomes_.push_back({Home, Now_.Mono_ + SuspicionTimeout});
 }
 
 /// Takes over a flow whose home does not answer, before any request of it is
 /// lost: requests that were sent under the old route keep it, and new ones come
 /// under ours. Null when the home is not suspected or we can't take the flow.
-FlowRow *Balancer::Impl::moveHere(const Route &R) {
-  if (Stopping_ || isHome(R) || !suspects(R.Home_))
+FlowRow *Balancer::Impl::takeOverFlow(const Route &R) {
+  if (Stopping_ || isHome(R) || !isSuspect(R.Home_))
     return nullptr;
-  std::uint32_t Index = holder(R);
+  std::uint32_t Index = resolveUpstream(R);
   if (Index == UpstreamTable::None)
     return nullptr;
-  FlowRow *Row = homeOf({R.Service_, R.Flow_}, Index);
+  FlowRow *Row = findOrCreateFlow({R.Service_, R.Flow_}, Index);
   bool Open = Row && Row->Upstream_ != UpstreamTable::None;
   Counters_.Moved_ += Open ? 1 : 0;
   return Open ? Row : nullptr;
 }
 
-void Balancer::Impl::tellMoved(const Message &M, const Route &R) {
-  FlowRow *Row = moveHere(R);
+void Balancer::Impl::notifyMoved(const Message &M, const Route &R) {
+  FlowRow *Row = takeOverFlow(R);
   if (!Row)
     return;
-  SealedRoute Sealed = routeOf(*Row, R.UpstreamIncarnation_);
+  SealedRoute Sealed = sealRoute(*Row, R.UpstreamIncarnation_);
   Message Out = makeReply(M, MessageKind::Moved);
   Out.Route_ = Sealed.bytes();
   (*Sink_)(ToCaller{M.Caller_, Out});
@@ -229,86 +233,87 @@
 /// The old home is gone, or its memory of the flow is: nobody can say whether
 /// the request was run. The flow goes on with this process as its home. An
 /// upstream that remembers requests is asked again; it runs none twice.
-void Balancer::Impl::rehome(const Message &M, const Route &R, ErrorKind Why) {
+void Balancer::Impl::rehome(const Message &M, const Route &R,
+                            ErrorKind Reason) {
   FlowKey Key{M.Service_, M.Flow_};
-  std::uint32_t Index = holder(R);
+  std::uint32_t Index = resolveUpstream(R);
   bool Gone = Index == UpstreamTable::None;
-  FlowRow *Row = Gone || Stopping_ ? nullptr : homeOf(Key, Index);
+  FlowRow *Row = Gone || Stopping_ ? nullptr : findOrCreateFlow(Key, Index);
   ++Counters_.Rehomed_;
   if (!Row || Row->Upstream_ == UpstreamTable::None)
-    return refuse(M, Why, Answer::OutcomeUnknown);
+    return refuse(M, Reason, Answer::OutcomeUnknown);
   if (Row->Upstream_ == Index && Upstreams_[Index].Remembers_)
-    return submitToRow(*Row, M, R, Origin::Replayed);
-  Row->useNumber(M.Request_);
-  SealedRoute Sealed = routeOf(*Row, R.UpstreamIncarnation_);
-  refuse(M, Why, Answer::OutcomeUnknown, Sealed.bytes());
+    return submitToFlow(*Row, M, R, RequestOrigin::Replayed);
+  Row->markNumberUsed(M.Request_);
+  SealedRoute Sealed = sealRoute(*Row, R.UpstreamIncarnation_);
+  refuse(M, Reason, Answer::OutcomeUnknown, Sealed.bytes());
 }
 
 void Balancer::Impl::on(const FromPeer &E) {
   const Message &M = E.Datagram_.Inner_;
-  PassRow *Row = Passes_.find({M.Service_, M.Request_, M.Flow_});
+  ForwardRow *Row = Forwards_.find({M.Service_, M.Request_, M.Flow_});
   switch (E.Datagram_.Kind_) {
   case PeerMessageKind::Forwarded:
   case PeerMessageKind::Delegated:
   case PeerMessageKind::Duplicate:
-    return onPassed(M, E.From_, E.Datagram_.Kind_);
+    return onForwarded(M, E.From_, E.Datagram_.Kind_);
   case PeerMessageKind::ForwardAccepted:
-    if (Row && Row->Home_ == E.From_)
-      Passes_.erase(*Row);
+    if (Row && Row->Destination_ == E.From_)
+      Forwards_.erase(*Row);
     return;
   case PeerMessageKind::NotHome:
-    if (Row && Row->Home_ == E.From_) {
-      givePassUp(*Row, ErrorKind::HomeUnreachable);
-      Passes_.erase(*Row);
+    if (Row && Row->Destination_ == E.From_) {
+      abandonForward(*Row, ErrorKind::HomeUnreachable);
+      Forwards_.erase(*Row);
     }
     return;
   }
 }
 
-void Balancer::Impl::confirm(const Message &M, const Endpoint &To,
-                             PeerMessageKind Kind) {
-  toPeer(To, Kind, makeReply(M, M.Kind_));
+void Balancer::Impl::acknowledge(const Message &M, const Endpoint &To,
+                                 PeerMessageKind Kind) {
+  sendToPeer(To, Kind, makeReply(M, M.Kind_));
 }
 
 /// A stopping home had this number before: either it ran the request, or it
 /// delegated it to us and we may be running it now.
-void Balancer::Impl::onRepeated(const Message &M, const Endpoint &From) {
-  confirm(M, From, PeerMessageKind::ForwardAccepted);
+void Balancer::Impl::onDuplicate(const Message &M, const Endpoint &From) {
+  acknowledge(M, From, PeerMessageKind::ForwardAccepted);
   if (!Requests_.find({M.Service_, M.Request_, M.Flow_}))
     refuse(M, ErrorKind::NumberUsed, Answer::OutcomeUnknown);
 }
 
-void Balancer::Impl::onPassed(const Message &M, const Endpoint &From,
-                              PeerMessageKind Kind) {
+void Balancer::Impl::onForwarded(const Message &M, const Endpoint &From,
+                                 PeerMessageKind Kind) {
   if (M.Kind_ == MessageKind::Open)
     return openFlow(M, false);
   Route R;
-  ErrorKind Why =
+  ErrorKind Reason =
       thymewall::open(M.Route_, Options_.Keys_, M.Service_, M.Flow_, R);
-  if (Why != ErrorKind::None)
-    return drop(Why);
+  if (Reason != ErrorKind::None)
+    return drop(Reason);
   if (M.Kind_ == MessageKind::Close) {
     FlowRow *Row = Flows_.find({M.Service_, M.Flow_});
     if (isHome(R) && Row && Row->Epoch_ == R.Epoch_)
-      closeRow(*Row);
+      markFlowClosed(*Row);
     return;
   }
   if (M.Kind_ != MessageKind::Request || M.repeatable())
     return drop(ErrorKind::Malformed);
   if (Kind == PeerMessageKind::Duplicate)
-    return onRepeated(M, From);
-  bool Delegated = Kind == PeerMessageKind::Delegated;
-  const Succession *S = successionOf(R);
-  bool Mine = S && successorOf(*S, {M.Service_, M.Flow_}).Incarnation_ ==
-                       Options_.Incarnation_;
-  bool Adopts = Delegated || (Mine && mayAdopt(M, R));
-  bool Accepts = isHome(R) || Adopts;
-  confirm(M, From,
-          Accepts ? PeerMessageKind::ForwardAccepted
-                  : PeerMessageKind::NotHome);
+    return onDuplicate(M, From);
+  bool IsDelegated = Kind == PeerMessageKind::Delegated;
+  const Succession *S = findSuccession(R);
+  bool IsSuccessor = S && successorOf(*S, {M.Service_, M.Flow_}).Incarnation_ ==
+                              Options_.Incarnation_;
+  bool AdoptsFlow = IsDelegated || (IsSuccessor && mayAdopt(M, R));
+  bool Accepts = isHome(R) || AdoptsFlow;
+  acknowledge(M, From,
+              Accepts ? PeerMessageKind::ForwardAccepted
+                      : PeerMessageKind::NotHome);
   if (isHome(R))
     return submit(M, R);
-  if (Adopts)
+  if (AdoptsFlow)
     adopt(M, R);
 }
 
--- a/src/balancer-impl.h
+++ b/src/balancer-impl.h
@@ -17,7 +17,7 @@
 namespace thymewall {
 
 /// Callers' clocks may be ahead of ours by this much.
-constexpr Micros ClockSlack = std::chrono::seconds(1);
+constexpr Micros MaxClockSkew = std::chrono::seconds(1);
 
 /// A live peer, as its heartbeats tell.
 struct Peer {
@@ -25,7 +25,7 @@
   Endpoint Data_;
   Incarnation Incarnation_{};
   bool Leaving_ = false;
-  MonoTime FreshUntil_{};
+  MonoTime ExpiresAt_{};
 };
 
 /// A home that did not answer of late.
@@ -44,17 +44,17 @@
 };
 
 /// How a request that may not be repeated came to this process as its home.
-enum class Origin : std::uint8_t {
+enum class RequestOrigin : std::uint8_t {
   Own,     ///< Its route names this process.
   Adopted, ///< Its route names a home that has stopped for good.
   Replayed ///< Its home is lost, but the upstream remembers requests.
 };
 
 /// What is known of a request that is handed to an upstream.
-struct Handing {
-  bool Once_ = false;     ///< It may not be repeated; we are its home.
-  bool Only_ = false;     ///< No other copy was or will be handed on.
-  bool NewRoute_ = false; ///< The answer brings the caller a new route.
+struct DispatchOptions {
+  bool AtMostOnce_ = false; ///< It may not be repeated; we are its home.
+  bool SoleCopy_ = false;   ///< No other copy was or will be handed on.
+  bool NewRoute_ = false;   ///< The answer brings the caller a new route.
 };
 
 class Balancer::Impl {
@@ -79,46 +79,47 @@
   void on(const StopRequested &E);
 
   // Intent and time (balancer.cc).
-  void noticeLateWake();
-  void select();
+  void detectLateWake();
+  void selectUpstreams();
   void applyHostList();
   bool ready() const;
   ServiceState *serviceState(ServiceId Id);
   std::uint32_t requestTick(MonoTime When) const;
   std::uint32_t flowTick(MonoTime When) const;
   std::uint32_t requestDue(WallTime Deadline) const;
-  double draw();
+  double randomFraction();
   std::uint64_t nextAttempt();
-  void reviewPeers();
+  void expirePeers();
   void expireRequests();
   void expireFlows();
-  void expirePasses();
+  void expireForwards();
 
   // Callers (balancer-caller.cc).
-  void openFlow(Message M, bool MayPass);
+  void openFlow(Message M, bool MayForward);
   void placeFlow(const Message &M, ServiceState &S);
-  const Eligible &eligibleOf(ServiceState &S);
-  std::uint32_t choose(const FlowKey &Key, const Eligible &Among) const;
+  const Eligible &eligibleUpstreams(ServiceState &S);
+  std::uint32_t chooseUpstream(const FlowKey &Key,
+                               const Eligible &Candidates) const;
   void sendOpen(const RequestRow &Row);
-  void retryOpen(RequestRow &Row, ErrorKind Why);
-  void request(const Message &M);
-  void forwardRepeatable(const Message &M, const Route &R);
-  void forwardStateless(const Message &M, const Route &R);
+  void retryOpen(RequestRow &Row, ErrorKind Reason);
+  void handleRequest(const Message &M);
+  void dispatchRepeatable(const Message &M, const Route &R);
+  void relayToUpstream(const Message &M, const Route &R);
   void closeFlow(const Message &M, const Route &R);
-  bool handOn(const Message &M, const Route &R, std::uint32_t Upstream,
-              Handing How);
+  bool dispatchRequest(const Message &M, const Route &R, std::uint32_t Upstream,
+                       DispatchOptions Options);
   bool overloaded(const ServiceState &S, const UpstreamRow &U) const;
   bool readRoute(const Message &M, Route &R);
-  std::uint32_t holder(const Route &R);
+  std::uint32_t resolveUpstream(const Route &R);
 
   // Answers to callers.
-  void drop(ErrorKind Why);
-  void refuse(const Message &M, ErrorKind Why, Answer Bound,
+  void drop(ErrorKind Reason);
+  void refuse(const Message &M, ErrorKind Reason, Answer StrongestAnswer,
               Bytes NewRoute = {});
-  void refuseRow(const RequestRow &Row, ErrorKind Why, Answer Bound,
-                 WallTime RetryAt = {});
-  void toUpstream(const Endpoint &To, const Message &M);
-  void toPeer(const Endpoint &To, PeerMessageKind Kind, const Message &M);
+  void refuseRow(const RequestRow &Row, ErrorKind Reason,
+                 Answer StrongestAnswer, WallTime RetryAt = {});
+  void sendToUpstream(const Endpoint &To, const Message &M);
+  void sendToPeer(const Endpoint &To, PeerMessageKind Kind, const Message &M);
 
   // Upstreams (balancer-upstream.cc).
   void onOpened(const Message &M, std::uint32_t Upstream);
@@ -126,71 +127,73 @@
   void onRefused(const Message &M, std::uint32_t Upstream);
   void onReset(const Message &M, std::uint32_t Upstream);
   void relayToCaller(const Message &M);
-  RequestRow *attemptOf(const Message &M, std::uint32_t Upstream);
-  void finish(RequestRow &Row);
-  void settle(RequestRow &Row);
+  RequestRow *findAttempt(const Message &M, std::uint32_t Upstream);
+  void removeRequest(RequestRow &Row);
+  void completeRequest(RequestRow &Row);
 
   // Homes (balancer-home.cc).
   bool isHome(const Route &R) const { return R.Home_ == Options_.Incarnation_; }
-  FlowRow *becomeHome(const FlowKey &Key, std::uint32_t Upstream);
-  FlowRow *homeOf(const FlowKey &Key, std::uint32_t Upstream);
-  void touch(FlowRow &Row);
-  void closeRow(FlowRow &Row);
-  void forgetFlow(FlowRow &Row);
-  SealedRoute routeOf(const FlowRow &Row, Incarnation Upstream) const;
+  FlowRow *createFlow(const FlowKey &Key, std::uint32_t Upstream);
+  FlowRow *findOrCreateFlow(const FlowKey &Key, std::uint32_t Upstream);
+  void refreshIdleTimeout(FlowRow &Row);
+  void markFlowClosed(FlowRow &Row);
+  void releaseFlow(FlowRow &Row);
+  SealedRoute sealRoute(const FlowRow &Row, Incarnation Upstream) const;
   void submit(const Message &M, const Route &R);
-  void submitToRow(FlowRow &Row, const Message &M, const Route &R, Origin From);
-  bool stoppedHandingOn() const;
-  void pass(const Message &M, const Route &R, const Endpoint &Home,
-            PeerMessageKind Kind);
-  void rehome(const Message &M, const Route &R, ErrorKind Why);
-  void confirm(const Message &M, const Endpoint &To, PeerMessageKind Kind);
-  void onRepeated(const Message &M, const Endpoint &From);
-  void onPassed(const Message &M, const Endpoint &From, PeerMessageKind Kind);
-  void givePassUp(PassRow &Row, ErrorKind Why);
-  bool suspects(Incarnation Home) const;
-  void suspect(Incarnation Home);
-  FlowRow *moveHere(const Route &R);
-  void tellMoved(const Message &M, const Route &R);
+  void submitToFlow(FlowRow &Row, const Message &M, const Route &R,
+                    RequestOrigin Origin);
+  bool hasNamedSuccessors() const;
+  void forwardToPeer(const Message &M, const Route &R,
+                     const Endpoint &Destination, PeerMessageKind Kind);
+  void rehome(const Message &M, const Route &R, ErrorKind Reason);
+  void acknowledge(const Message &M, const Endpoint &To, PeerMessageKind Kind);
+  void onDuplicate(const Message &M, const Endpoint &From);
+  void onForwarded(const Message &M, const Endpoint &From,
+                   PeerMessageKind Kind);
+  void abandonForward(ForwardRow &Row, ErrorKind Reason);
+  bool isSuspect(Incarnation Home) const;
+  void markSuspect(Incarnation Home);
+  FlowRow *takeOverFlow(const Route &R);
+  void notifyMoved(const Message &M, const Route &R);
 
   // Planned stop (balancer-succession.cc).
-  void declareSuccession();
-  const Succession *successionOf(const Route &R) const;
+  void announceSuccession();
+  const Succession *findSuccession(const Route &R) const;
   bool mayAdopt(const Message &M, const Route &R) const;
   void adopt(const Message &M, const Route &R);
   void delegate(const Message &M, const Route &R, PeerMessageKind Kind);
   void checkStopped();
-  const Peer *openSuccessor(const FlowKey &Flow) const;
+  const Peer *successorForOpen(const FlowKey &Flow) const;
 
   BalancerOptions Options_;
   std::mt19937_64 Random_;
   Counters Counters_;
   FlowTable Flows_;
   RequestTable Requests_;
-  PassTable Passes_;
+  ForwardTable Forwards_;
   UpstreamTable Upstreams_;
   std::vector<ServiceState> Services_;
   std::vector<Peer> Peers_;
   std::vector<Succession> Successions_;
-  Succession StopBySuccessors_; ///< Our own statement, once made.
+  Succession OwnSuccession_; ///< Our own statement, once made.
   std::vector<SuspectHome> SuspectHomes_;
   DeclarationPtr Declaration_;
   HostListPtr HostList_;
-  Micros LongestDeadlineSeen_{};
+  Micros MaxServiceDeadline_{};
 
   Moment Now_{};
   const ActionSink *Sink_ = nullptr;
   MonoTime Started_{};
-  MonoTime NextTickBy_{};
-  MonoTime TrustOldIntentAt_{};
-  MonoTime StopBy_{};
+  MonoTime NextTickDue_{};
+  MonoTime RereadDeadline_{};
+  MonoTime EarliestStop_{};
   WallTime NextSelectAt_{};
-  std::uint64_t Attempts_ = 0;
+  std::uint64_t LastAttempt_ = 0;
   std::uint64_t RereadId_ = 0; ///< Counts `RereadSources`.
-  std::uint32_t Epochs_ = 0;
-  bool Fresh_ = false;
+  std::uint32_t LastEpoch_ = 0;
+  bool DeclarationFresh_ = false;
   bool Stopping_ = false;
-  bool StoppedTold_ = false;
+  bool StoppedSent_ = false;
 };
 
 } // namespace thymewall
--- a/src/balancer-succession.cc
+++ b/src/balancer-succession.cc
@@ -12,16 +12,16 @@
     return;
   Stopping_ = true;
   // A request that was sent before may be copied to us until its deadline.
-  StopBy_ = Now_.Mono_ + LongestDeadlineSeen_ + 2 * ClockSlack;
-  declareSuccession();
+  EarliestStop_ = Now_.Mono_ + MaxServiceDeadline_ + 2 * MaxClockSkew;
+  announceSuccession();
 }
 
 /// Names the successors. Nothing that this process handed on has a deadline
-/// after the fence, because `submitToRow` refuses deadlines further ahead.
-void Balancer::Impl::declareSuccession() {
+/// after the fence, because `submitToFlow` refuses deadlines further ahead.
+void Balancer::Impl::announceSuccession() {
   Succession S;
   S.Home_ = Options_.Incarnation_;
-  S.Fence_ = Now_.Wall_ + LongestDeadlineSeen_ + ClockSlack;
+  S.Fence_ = Now_.Wall_ + MaxServiceDeadline_ + MaxClockSkew;
   for (const Peer &P : Peers_)
     if (!P.Leaving_)
       S.Successors_.push_back({P.Data_, P.Incarnation_});
@@ -30,11 +30,11 @@
   std::sort(
       S.Successors_.begin(), S.Successors_.end(),
       [](const Successor &A, const Successor &B) { return A.Data_ < B.Data_; });
-  StopBySuccessors_ = S;
+  OwnSuccession_ = S;
   (*Sink_)(BroadcastSuccession{S});
 }
 
-const Succession *Balancer::Impl::successionOf(const Route &R) const {
+const Succession *Balancer::Impl::findSuccession(const Route &R) const {
   for (const Succession &S : Successions_)
     if (S.Home_ == R.Home_)
       return &S;
@@ -44,7 +44,7 @@
 /// True when the request's deadline shows that the old home never had it, and
 /// it has not expired, so that our own memory of it can't have been dropped.
 bool Balancer::Impl::mayAdopt(const Message &M, const Route &R) const {
-  const Succession *S = successionOf(R);
+  const Succession *S = findSuccession(R);
   return S && (M.Deadline_ > S->Fence_ || !has(Mechanism::Fence)) &&
          M.Deadline_ > Now_.Wall_;
 }
@@ -52,14 +52,14 @@
 /// Runs a request of a flow whose home has stopped, under our own epoch. The
 /// answer brings the caller its new route.
 void Balancer::Impl::adopt(const Message &M, const Route &R) {
-  std::uint32_t Index = holder(R);
+  std::uint32_t Index = resolveUpstream(R);
   if (Index == UpstreamTable::None)
     return refuse(M, ErrorKind::FlowUnknown, Answer::OutcomeUnknown);
-  FlowRow *Row = homeOf({M.Service_, M.Flow_}, Index);
+  FlowRow *Row = findOrCreateFlow({M.Service_, M.Flow_}, Index);
   ++Counters_.Adopted_;
   if (!Row)
     return refuse(M, ErrorKind::Overloaded, Answer::OutcomeUnknown);
-  submitToRow(*Row, M, R, Origin::Adopted);
+  submitToFlow(*Row, M, R, RequestOrigin::Adopted);
 }
 
 /// A stopping home passes a request to its successor: as `Delegated` one that
@@ -67,12 +67,12 @@
 /// copy of one that it or the successor had before.
 void Balancer::Impl::delegate(const Message &M, const Route &R,
                               PeerMessageKind Kind) {
-  const Successor &Next = successorOf(StopBySuccessors_, {M.Service_, M.Flow_});
-  pass(M, R, Next.Data_, Kind);
+  const Successor &Next = successorOf(OwnSuccession_, {M.Service_, M.Flow_});
+  forwardToPeer(M, R, Next.Data_, Kind);
 }
 
 /// A peer to place the flows that still arrive here while we stop.
-const Peer *Balancer::Impl::openSuccessor(const FlowKey &Flow) const {
+const Peer *Balancer::Impl::successorForOpen(const FlowKey &Flow) const {
   const Peer *Best = nullptr;
   std::uint64_t BestScore = 0;
   for (const Peer &P : Peers_) {
@@ -86,11 +86,11 @@
 }
 
 void Balancer::Impl::checkStopped() {
-  bool Idle = Requests_.size() == 0 && Passes_.size() == 0;
-  bool Over = Now_.Mono_ >= StopBy_;
-  if (StoppedTold_ || !Idle || !Over)
+  bool Idle = Requests_.size() == 0 && Forwards_.size() == 0;
+  bool GracePeriodOver = Now_.Mono_ >= EarliestStop_;
+  if (StoppedSent_ || !Idle || !GracePeriodOver)
     return;
-  StoppedTold_ = true;
+  StoppedSent_ = true;
   (*Sink_)(Stopped{});
 }
 
--- a/src/balancer-upstream.cc
+++ b/src/balancer-upstream.cc
@@ -9,7 +9,7 @@
 
 /// Longer than copies of one datagram are apart, shorter than a caller waits
 /// before it asks again.
-constexpr Micros CopiesFor = std::chrono::milliseconds(150);
+constexpr Micros DuplicateWindow = std::chrono::milliseconds(150);
 
 } // namespace
 
@@ -39,55 +39,57 @@
 
 /// The request in progress that a datagram of an upstream belongs to; null,
 /// and counted, when it was given up or belongs to an earlier attempt.
-RequestRow *Balancer::Impl::attemptOf(const Message &M,
-                                      std::uint32_t Upstream) {
+RequestRow *Balancer::Impl::findAttempt(const Message &M,
+                                        std::uint32_t Upstream) {
   RequestRow *Row = Requests_.find({M.Service_, M.Request_, M.Flow_});
-  bool Same = Row && !Row->Done_ &&
-              (Row->Attempt_ == M.Attempt_ || !has(Mechanism::AttemptMatch));
-  if (Same && Row->Upstream_ == Upstream)
+  bool IsCurrentAttempt =
+      Row && !Row->Completed_ &&
+      (Row->Attempt_ == M.Attempt_ || !has(Mechanism::AttemptMatch));
+  if (IsCurrentAttempt && Row->Upstream_ == Upstream)
     return Row;
   drop(ErrorKind::LateAnswer);
   return nullptr;
 }
 
-void Balancer::Impl::finish(RequestRow &Row) {
-  if (!Row.Done_) // else it left the count when it was settled
+void Balancer::Impl::removeRequest(RequestRow &Row) {
+  if (!Row.Completed_) // else it left the count when it was settled
     --Upstreams_[Row.Upstream_].InFlight_;
   Requests_.erase(Row);
 }
 
 /// Ends a request whose last part went to the caller. A copy of it that comes
 /// soon is the network's or crossed the answer, and is not told anything else.
-void Balancer::Impl::settle(RequestRow &Row) {
-  if (!Row.Once_)
-    return finish(Row);
+void Balancer::Impl::completeRequest(RequestRow &Row) {
+  if (!Row.AtMostOnce_)
+    return removeRequest(Row);
   --Upstreams_[Row.Upstream_].InFlight_;
-  Row.Done_ = true;
-  Requests_.rearm(Row, requestTick(Now_.Mono_ + CopiesFor));
+  Row.Completed_ = true;
+  Requests_.rearm(Row, requestTick(Now_.Mono_ + DuplicateWindow));
 }
 
 void Balancer::Impl::onOpened(const Message &M, std::uint32_t Upstream) {
-  RequestRow *Row = attemptOf(M, Upstream);
+  RequestRow *Row = findAttempt(M, Upstream);
   if (!Row || M.Request_ != 0)
     return;
   Upstreams_.succeeded(Upstream);
   if (Options_.OnDelay_)
-    Options_.OnDelay_(M.Service_, RequestClass::Open, Now_.Mono_ - Row->Sent_);
+    Options_.OnDelay_(M.Service_, RequestClass::Open,
+                      Now_.Mono_ - Row->SentAt_);
   Endpoint Caller = Row->Caller_;
   FlowKey Key{M.Service_, M.Flow_};
   FlowRow *Flow = Flows_.find(Key);
   if (!Flow) {
-    // `becomeHome` counts the flow itself.
+    // `createFlow` counts the flow itself.
     --Upstreams_[Upstream].OwnFlows_;
-    Flow = becomeHome(Key, Upstream);
+    Flow = createFlow(Key, Upstream);
   }
   if (!Flow) {
     refuseRow(*Row, ErrorKind::Overloaded, Answer::NotRun);
-    return finish(*Row);
+    return removeRequest(*Row);
   }
-  finish(*Row);
+  removeRequest(*Row);
   ++Counters_.Opened_;
-  SealedRoute Sealed = routeOf(*Flow, M.Incarnation_);
+  SealedRoute Sealed = sealRoute(*Flow, M.Incarnation_);
   Message Out = makeReply(M, MessageKind::Opened);
   Out.Route_ = Sealed.bytes();
   (*Sink_)(ToCaller{Caller, Out});
@@ -96,7 +98,7 @@
 /// Sends a part on to the caller. All parts that a caller gets under one
 /// attempt number come from one run of the request.
 void Balancer::Impl::onAnswer(const Message &M, std::uint32_t Upstream) {
-  RequestRow *Row = attemptOf(M, Upstream);
+  RequestRow *Row = findAttempt(M, Upstream);
   if (!Row)
     return;
   std::uint16_t Parts = M.Parts_ == 0 ? 1 : M.Parts_;
@@ -104,9 +106,9 @@
     return drop(ErrorKind::Malformed);
   Row->Parts_ = Parts;
   std::uint64_t Bit = std::uint64_t{1} << M.Part_;
-  if ((Row->PartsSeen_ & Bit) != 0)
+  if ((Row->ReceivedParts_ & Bit) != 0)
     return drop(ErrorKind::RepeatedPart);
-  Row->PartsSeen_ |= Bit;
+  Row->ReceivedParts_ |= Bit;
   Message Out = M;
   Out.Caller_ = {};
   Out.Incarnation_ = {};
@@ -115,24 +117,25 @@
   SealedRoute Sealed;
   FlowRow *Flow = Row->NewRoute_ ? Flows_.find({M.Service_, M.Flow_}) : nullptr;
   if (Flow && Flow->Upstream_ == Upstream)
-    Sealed = routeOf(*Flow, M.Incarnation_);
+    Sealed = sealRoute(*Flow, M.Incarnation_);
   Out.Route_ = Sealed.bytes();
   (*Sink_)(ToCaller{Row->Caller_, Out});
-  if (Row->PartsSeen_ != allPartsMask(Parts))
+  if (Row->ReceivedParts_ != allPartsMask(Parts))
     return;
   ++Counters_.Answered_;
   Upstreams_.succeeded(Upstream);
   if (Options_.OnDelay_)
-    Options_.OnDelay_(
-        M.Service_, Row->Once_ ? RequestClass::Once : RequestClass::Repeatable,
-        Now_.Mono_ - Row->Sent_);
-  settle(*Row);
+    Options_.OnDelay_(M.Service_,
+                      Row->AtMostOnce_ ? RequestClass::Once
+                                       : RequestClass::Repeatable,
+                      Now_.Mono_ - Row->SentAt_);
+  completeRequest(*Row);
 }
 
 /// An upstream refuses before it starts. Where the home of a request has handed
 /// it on just this once, `not run` is true.
 void Balancer::Impl::onRefused(const Message &M, std::uint32_t Upstream) {
-  RequestRow *Row = attemptOf(M, Upstream);
+  RequestRow *Row = findAttempt(M, Upstream);
   if (!Row)
     return;
   if (M.Request_ == 0) {
@@ -142,25 +145,25 @@
       Requests_.erase(*Row);
     return;
   }
-  bool Started = Row->PartsSeen_ != 0;
-  Answer Bound =
-      Row->Only_ && !Started ? Answer::NotRun : Answer::OutcomeUnknown;
-  refuseRow(*Row, ErrorKind::UpstreamRefused, Bound, M.RetryAt_);
-  finish(*Row);
+  bool Started = Row->ReceivedParts_ != 0;
+  Answer StrongestAnswer =
+      Row->SoleCopy_ && !Started ? Answer::NotRun : Answer::OutcomeUnknown;
+  refuseRow(*Row, ErrorKind::UpstreamRefused, StrongestAnswer, M.RetryAt_);
+  removeRequest(*Row);
 }
 
 /// The upstream does not hold the flow, so it has not started the request.
 void Balancer::Impl::onReset(const Message &M, std::uint32_t Upstream) {
   FlowRow *Flow = Flows_.find({M.Service_, M.Flow_});
   if (Flow && Flow->Upstream_ == Upstream)
-    closeRow(*Flow);
+    markFlowClosed(*Flow);
   bool NotRun = false;
   if (M.Request_ != 0) {
-    RequestRow *Row = attemptOf(M, Upstream);
+    RequestRow *Row = findAttempt(M, Upstream);
     if (!Row)
       return;
-    NotRun = Row->Only_ && Row->PartsSeen_ == 0;
-    finish(*Row);
+    NotRun = Row->SoleCopy_ && Row->ReceivedParts_ == 0;
+    removeRequest(*Row);
   }
   ++(NotRun ? Counters_.NotRun_ : Counters_.OutcomeUnknown_);
   Message Out = makeReply(M, MessageKind::Reset);
--- a/src/balancer.cc
+++ b/src/balancer.cc
@@ -15,8 +15,8 @@
 constexpr Micros RequestTickLength = 5ms;
 constexpr Micros FlowTickLength = 1s;
 /// A woken process that no source answers goes on with its old intent then.
-constexpr Micros TrustOldIntentAfter = 3s;
-constexpr Micros PeerFreshFor = 5s;
+constexpr Micros RereadTimeout = 3s;
+constexpr Micros PeerTimeout = 5s;
 constexpr std::size_t MaxSuccessions = 4096;
 
 } // namespace
@@ -24,30 +24,30 @@
 Balancer::Impl::Impl(BalancerOptions Options)
     : Options_(std::move(Options)), Random_(Options_.Seed_),
       Flows_(Options_.MaxFlows_), Requests_(Options_.MaxRequests_),
-      Passes_(Options_.MaxForwards_) {}
+      Forwards_(Options_.MaxForwards_) {}
 
 void Balancer::Impl::handle(const Moment &Now, const Event &What,
                             const ActionSink &Sink) {
   if (Started_ == MonoTime{}) {
     Started_ = Now.Mono_;
-    NextTickBy_ = Now.Mono_ + TickInterval;
+    NextTickDue_ = Now.Mono_ + TickInterval;
   }
   Now_ = Now;
   Sink_ = &Sink;
-  noticeLateWake();
+  detectLateWake();
   std::visit([this](const auto &E) { on(E); }, What);
   Sink_ = nullptr;
 }
 
 /// Every event checks the clock, because the first one after a pause may be a
 /// datagram that has waited in a socket since before it.
-void Balancer::Impl::noticeLateWake() {
-  if (Now_.Mono_ < NextTickBy_ + MaxTickDelay || !has(Mechanism::LateWake))
+void Balancer::Impl::detectLateWake() {
+  if (Now_.Mono_ < NextTickDue_ + MaxTickDelay || !has(Mechanism::LateWake))
     return;
-  NextTickBy_ = Now_.Mono_ + TickInterval;
+  NextTickDue_ = Now_.Mono_ + TickInterval;
   ++Counters_.LateWakes_;
-  Fresh_ = false;
-  TrustOldIntentAt_ = Now_.Mono_ + TrustOldIntentAfter;
+  DeclarationFresh_ = false;
+  RereadDeadline_ = Now_.Mono_ + RereadTimeout;
   Upstreams_.forgetBeliefs();
   Peers_.clear();
   SuspectHomes_.clear();
@@ -56,7 +56,8 @@
 }
 
 bool Balancer::Impl::ready() const {
-  return Declaration_ != nullptr && (Fresh_ || Now_.Mono_ >= TrustOldIntentAt_);
+  return Declaration_ != nullptr &&
+         (DeclarationFresh_ || Now_.Mono_ >= RereadDeadline_);
 }
 
 ServiceState *Balancer::Impl::serviceState(ServiceId Id) {
@@ -80,16 +81,16 @@
 }
 
 /// A number from 0 to 1.
-double Balancer::Impl::draw() {
+double Balancer::Impl::randomFraction() {
   return std::generate_canonical<double, 32>(Random_);
 }
 
 std::uint64_t Balancer::Impl::nextAttempt() {
-  return hashPair(raw(Options_.Incarnation_), ++Attempts_);
+  return hashPair(raw(Options_.Incarnation_), ++LastAttempt_);
 }
 
 void Balancer::Impl::on(const DeclarationRead &E) {
-  Fresh_ = Fresh_ || E.RereadId_ == RereadId_;
+  DeclarationFresh_ = DeclarationFresh_ || E.RereadId_ == RereadId_;
   bool Newer = !Declaration_ || supersedes(*E.Declaration_, *Declaration_);
   if (!Newer && has(Mechanism::Monotonic))
     return;
@@ -99,18 +100,18 @@
   Old.swap(Services_);
   for (const Service &S : Declaration_->Services_) {
     Services_.push_back({S, {}, 0, {}, 0});
-    LongestDeadlineSeen_ = std::max(LongestDeadlineSeen_, S.DeadlineAfter_);
-    for (const ServiceState &Before : Old)
-      if (Before.Service_.Id_ == S.Id_)
-        Services_.back().RetryTokens_ = Before.RetryTokens_;
+    MaxServiceDeadline_ = std::max(MaxServiceDeadline_, S.DeadlineAfter_);
+    for (const ServiceState &Previous : Old)
+      if (Previous.Service_.Id_ == S.Id_)
+        Services_.back().RetryTokens_ = Previous.RetryTokens_;
   }
   applyHostList();
-  select();
+  selectUpstreams();
   (*Sink_)(DeclarationApplied{Declaration_});
 }
 
 void Balancer::Impl::on(const DeclarationUnchanged &E) {
-  Fresh_ = Fresh_ || E.RereadId_ == RereadId_;
+  DeclarationFresh_ = DeclarationFresh_ || E.RereadId_ == RereadId_;
 }
 
 void Balancer::Impl::on(const HostListRead &E) {
@@ -130,18 +131,20 @@
 }
 
 void Balancer::Impl::on(const HeartbeatReceived &E) {
-  Peer Seen{E.Id_, E.Data_, E.Incarnation_, E.Leaving_,
-            Now_.Mono_ + PeerFreshFor};
-  auto Same = [&](const SuspectHome &S) { return S.Home_ == E.Incarnation_; };
+  Peer Updated{E.Id_, E.Data_, E.Incarnation_, E.Leaving_,
+               Now_.Mono_ + PeerTimeout};
+  auto IsSameHome = [&](const SuspectHome &S) {
+    return S.Home_ == E.Incarnation_;
+  };
   SuspectHomes_.erase(
-      std::remove_if(SuspectHomes_.begin(), SuspectHomes_.end(), Same),
+      std::remove_if(SuspectHomes_.begin(), SuspectHomes_.end(), IsSameHome),
       SuspectHomes_.end());
   for (Peer &P : Peers_)
     if (P.Id_ == E.Id_) {
-      P = Seen;
+      P = Updated;
       return;
     }
-  Peers_.push_back(Seen);
+  Peers_.push_back(Updated);
 }
 
 void Balancer::Impl::on(const SuccessionReceived &E) {
@@ -156,7 +159,7 @@
 }
 
 /// Works out which upstreams each service has at this minute.
-void Balancer::Impl::select() {
+void Balancer::Impl::selectUpstreams() {
   constexpr Micros Minute = 60s;
   NextSelectAt_ =
       WallTime((Now_.Wall_.time_since_epoch() / Minute + 1) * Minute);
@@ -172,14 +175,14 @@
 }
 
 void Balancer::Impl::on(const Tick &) {
-  NextTickBy_ = Now_.Mono_ + TickInterval;
-  bool MinuteOver =
+  NextTickDue_ = Now_.Mono_ + TickInterval;
+  bool SelectionExpired =
       Now_.Wall_ >= NextSelectAt_ || Now_.Wall_ + 2min < NextSelectAt_;
-  if (Declaration_ && MinuteOver)
-    select();
-  reviewPeers();
+  if (Declaration_ && SelectionExpired)
+    selectUpstreams();
+  expirePeers();
   Upstreams_.review(Now_.Mono_);
-  expirePasses();
+  expireForwards();
   expireRequests();
   expireFlows();
   if (Stopping_)
@@ -188,16 +191,16 @@
 
 /// A peer whose heartbeats end is suspected from then on; suspicion ends by
 /// time or with a heartbeat.
-void Balancer::Impl::reviewPeers() {
-  auto Over = [this](const SuspectHome &S) { return S.Until_ < Now_.Mono_; };
+void Balancer::Impl::expirePeers() {
+  auto Expired = [this](const SuspectHome &S) { return S.Until_ < Now_.Mono_; };
   SuspectHomes_.erase(
-      std::remove_if(SuspectHomes_.begin(), SuspectHomes_.end(), Over),
+      std::remove_if(SuspectHomes_.begin(), SuspectHomes_.end(), Expired),
       SuspectHomes_.end());
-  auto Silent = [this](const Peer &P) { return P.FreshUntil_ < Now_.Mono_; };
+  auto TimedOut = [this](const Peer &P) { return P.ExpiresAt_ < Now_.Mono_; };
   for (const Peer &P : Peers_)
-    if (Silent(P))
-      suspect(P.Incarnation_);
-  Peers_.erase(std::remove_if(Peers_.begin(), Peers_.end(), Silent),
+    if (TimedOut(P))
+      markSuspect(P.Incarnation_);
+  Peers_.erase(std::remove_if(Peers_.begin(), Peers_.end(), TimedOut),
                Peers_.end());
 }
 
@@ -205,9 +208,9 @@
 /// tried at another upstream first.
 void Balancer::Impl::expireRequests() {
   Requests_.expire(requestTick(Now_.Mono_), [this](RequestRow &Row) {
-    if (Row.Done_)
+    if (Row.Completed_)
       return;
-    Upstreams_.failed(Row.Upstream_, Now_.Mono_, draw());
+    Upstreams_.failed(Row.Upstream_, Now_.Mono_, randomFraction());
     if (Row.Key_.Number_ == 0) {
       retryOpen(Row, ErrorKind::NoAnswer);
       return;
@@ -219,7 +222,7 @@
     Cancel.Request_ = Row.Key_.Number_;
     Cancel.Attempt_ = Row.Attempt_;
     Cancel.Caller_ = Row.Caller_;
-    toUpstream(Upstreams_[Row.Upstream_].At_, Cancel);
+    sendToUpstream(Upstreams_[Row.Upstream_].At_, Cancel);
     --Upstreams_[Row.Upstream_].InFlight_;
     refuseRow(Row, ErrorKind::NoAnswer, Answer::OutcomeUnknown);
   });
@@ -227,7 +230,7 @@
 
 void Balancer::Impl::expireFlows() {
   Flows_.expire(flowTick(Now_.Mono_),
-                [this](FlowRow &Row) { forgetFlow(Row); });
+                [this](FlowRow &Row) { releaseFlow(Row); });
 }
 
 Status Balancer::Impl::status() const {
@@ -238,9 +241,9 @@
   S.Stopping_ = Stopping_;
   S.Flows_ = Flows_.size();
   S.Requests_ = Requests_.size();
-  S.PendingForwards_ = Passes_.size();
+  S.PendingForwards_ = Forwards_.size();
   S.MemoryBytes_ =
-      Flows_.memoryBytes() + Requests_.memoryBytes() + Passes_.memoryBytes();
+      Flows_.memoryBytes() + Requests_.memoryBytes() + Forwards_.memoryBytes();
   S.Now_ = Now_.Mono_;
   S.Upstreams_ = Upstreams_.rows();
   return S;
--- a/src/request-table.cc
+++ b/src/request-table.cc
@@ -4,7 +4,7 @@
 
 namespace thymewall {
 
-void PassRow::store(const Message &M) {
+void ForwardRow::store(const Message &M) {
   Message_ = M;
   RouteSize_ =
       static_cast<std::uint16_t>(std::min(M.Route_.Size_, MaxRouteSize));
@@ -14,7 +14,7 @@
   std::copy_n(M.Payload_.Data_, PayloadSize_, Payload_.begin());
 }
 
-Message PassRow::message() const {
+Message ForwardRow::message() const {
   Message M = Message_;
   M.Route_ = {Route_.data(), RouteSize_};
   M.Payload_ = {Payload_.data(), PayloadSize_};
--- a/test/timed-table-test.cc
+++ b/test/timed-table-test.cc
@@ -77,9 +77,10 @@
     std::uint32_t Highest = 0;
     for (std::uint32_t Number : Numbers) {
       bool TooOld = Number + FlowRow::WindowWidth <= Highest;
-      RC_ASSERT(Row.numberUsed(Number) == (TooOld || Used.count(Number) != 0));
-      Row.useNumber(Number);
-      RC_ASSERT(Row.numberUsed(Number));
+      RC_ASSERT(Row.isNumberUsed(Number) ==
+                (TooOld || Used.count(Number) != 0));
+      Row.markNumberUsed(Number);
+      RC_ASSERT(Row.isNumberUsed(Number));
       Used.insert(Number);
       Highest = std::max(Highest, Number);
     }
