--- a/test/allocation-test.cc
+++ b/test/allocation-test.cc
@@ -24,13 +24,13 @@
 void operator delete(void *Memory, std::size_t) noexcept { std::free(Memory); }
 
 TEST_CASE("the data path allocates nothing in steady state") {
-  Bench B;
+  BalancerHarness B;
   B.openFlow();
   auto Round = [&](std::uint32_t From, std::uint32_t To) {
     for (std::uint32_t I = From; I < To; ++I) {
       B.fromCaller(B.request(I, I % 2 == 0));
       B.reply(MessageKind::Answer);
-      B.pass(Balancer::TickInterval);
+      B.advance(Balancer::TickInterval);
     }
   };
   Round(1, 200);
--- a/test/balancer-bench.h
+++ b/test/balancer-bench.h
@@ -14,17 +14,17 @@
 
 using std::chrono::milliseconds;
 
-inline const Endpoint Caller = Endpoint::v4(1, 1000);
-inline const Endpoint Peer = Endpoint::v4(3, 7100);
+inline const Endpoint CallerAddress = Endpoint::v4(1, 1000);
+inline const Endpoint PeerAddress = Endpoint::v4(3, 7100);
 const SecretKey Secret = {1, 2, 3};
-inline const ServiceId Index = static_cast<ServiceId>(nameId("index"));
+inline const ServiceId IndexService = static_cast<ServiceId>(nameId("index"));
 
 inline ZoneClock noZones() {
   return [](const std::string &, WallTime) { return LocalMinute{}; };
 }
 
-inline DeclarationPtr declaration(int Version, int Upstreams,
-                                  const std::string &Extra = "") {
+inline DeclarationPtr makeDeclaration(int Version, int Upstreams,
+                                      const std::string &Extra = "") {
   std::string Text = "{\"version\": " + std::to_string(Version) +
                      R"(, "services": [{"name": "index", "port": 1,)" + Extra +
                      R"( "deadline_ms": 1000}], "upstreams": [)";
@@ -40,10 +40,10 @@
 }
 
 /// One core, the time, and what it last sent to each side.
-class Bench {
+class BalancerHarness {
 public:
-  explicit Bench(std::uint64_t Self = 42,
-                 const DeclarationPtr &D = declaration(1, 2))
+  explicit BalancerHarness(std::uint64_t Self = 42,
+                           const DeclarationPtr &D = makeDeclaration(1, 2))
       : Core_(BalancerBuilder()
                   .name("lb")
                   .dataAddress(
@@ -53,27 +53,27 @@
                   .keys({Secret, Secret})
                   .zones(noZones())
                   .build()),
-        Sink_([this](const Action &A) { note(A); }) {
+        Sink_([this](const Action &A) { record(A); }) {
     if (D)
-      give(DeclarationRead{D});
+      handle(DeclarationRead{D});
   }
 
-  void give(const Event &What) { Core_.handle(now(), What, Sink_); }
+  void handle(const Event &What) { Core_.handle(now(), What, Sink_); }
   Moment now() const {
     return {MonoTime(Now_), WallTime(Now_ + std::chrono::hours(1))};
   }
-  void pass(Micros Time) {
+  void advance(Micros Time) {
     for (Micros End = Now_ + Time; Now_ < End;) {
       Now_ += Balancer::TickInterval;
-      give(Tick{});
+      handle(Tick{});
     }
   }
-  void sleep(Micros Time) { Now_ += Time; }
+  void pauseProcess(Micros Time) { Now_ += Time; }
 
   void fromCaller(Message M, std::size_t Size = 200) {
-    M.Service_ = Index;
+    M.Service_ = IndexService;
     M.Flow_ = FlowId{7};
-    give(FromCaller{Caller, M, Size});
+    handle(FromCaller{CallerAddress, M, Size});
   }
   void open() {
     Message M;
@@ -82,18 +82,18 @@
   }
   /// Lets the upstream that was last sent to reply.
   void reply(MessageKind K, std::uint16_t Part = 0, std::uint16_t Parts = 0) {
-    Message M = Up_->Message_;
+    Message M = LastToUpstream_->Message_;
     M.Kind_ = K;
     M.Part_ = Part;
     M.Parts_ = Parts;
     M.Payload_ = {};
     M.Incarnation_ = Incarnation{5};
-    give(FromUpstream{Up_->To_, M});
+    handle(FromUpstream{LastToUpstream_->To_, M});
   }
   void openFlow() {
     open();
     reply(MessageKind::Opened);
-    Route_ = Sealed_;
+    Route_ = LastRoute_;
   }
   Message request(std::uint32_t Number, bool Repeatable = false) {
     Message M;
@@ -104,25 +104,25 @@
     M.Route_ = Route_.bytes();
     return M;
   }
-  std::uint64_t errors(ErrorKind K) const {
+  std::uint64_t errorCount(ErrorKind K) const {
     return Core_.counters().Errors_[static_cast<std::size_t>(K)];
   }
 
-  void note(const Action &A) {
+  void record(const Action &A) {
     if (const auto *C = std::get_if<ToCaller>(&A)) {
-      Caller_ = *C;
-      ++ToCallers_;
+      LastToCaller_ = *C;
+      ++ToCallerCount_;
       if (!C->Message_.Route_.empty()) {
         Bytes R = C->Message_.Route_;
-        std::copy_n(R.Data_, R.Size_, Sealed_.Bytes_.begin());
-        Sealed_.Size_ = R.Size_;
+        std::copy_n(R.Data_, R.Size_, LastRoute_.Bytes_.begin());
+        LastRoute_.Size_ = R.Size_;
       }
     } else if (const auto *U = std::get_if<ToUpstream>(&A)) {
-      Up_ = *U;
-      ++ToUpstreams_;
+      LastToUpstream_ = *U;
+      ++ToUpstreamCount_;
     } else if (const auto *P = std::get_if<ToPeer>(&A)) {
-      Peer_ = *P;
-      ++ToPeers_;
+      LastToPeer_ = *P;
+      ++ToPeerCount_;
     } else if (const auto *R = std::get_if<RereadSources>(&A)) {
       RereadId_ = R->RereadId_;
     }
@@ -132,18 +132,18 @@
   ActionSink Sink_;
   Micros Now_ = std::chrono::seconds(1000);
   SealedRoute Route_;
-  SealedRoute Sealed_;
-  std::optional<ToCaller> Caller_;
-  std::optional<ToUpstream> Up_;
-  std::optional<ToPeer> Peer_;
-  int ToCallers_ = 0;
-  int ToUpstreams_ = 0;
-  int ToPeers_ = 0;
+  SealedRoute LastRoute_;
+  std::optional<ToCaller> LastToCaller_;
+  std::optional<ToUpstream> LastToUpstream_;
+  std::optional<ToPeer> LastToPeer_;
+  int ToCallerCount_ = 0;
+  int ToUpstreamCount_ = 0;
+  int ToPeerCount_ = 0;
   std::uint64_t RereadId_ = 0;
 };
 
-inline bool notRun(const Bench &B) {
-  return (B.Caller_->Message_.Flags_ & FlagNotRun) != 0;
+inline bool notRun(const BalancerHarness &B) {
+  return (B.LastToCaller_->Message_.Flags_ & FlagNotRun) != 0;
 }
 
 } // namespace thymewall::test
--- a/test/event-queue.h
+++ b/test/event-queue.h
@@ -14,35 +14,35 @@
 public:
   MonoTime now() const { return Now_; }
   /// Does it \p Delay from now; of two at one time the first asked for first.
-  void after(Micros Delay, std::function<void()> Do) {
-    Queue_.push({Now_ + Delay, ++Order_, std::move(Do)});
+  void after(Micros Delay, std::function<void()> Task) {
+    Queue_.push({Now_ + Delay, ++Sequence_, std::move(Task)});
   }
   /// Does what is due until \p Until, in virtual time from the start.
   void run(Micros Until) {
     MonoTime End = Start_ + Until;
     while (!Queue_.empty() && Queue_.top().At_ <= End) {
-      Later Next = Queue_.top();
+      ScheduledTask Next = Queue_.top();
       Queue_.pop();
       Now_ = Next.At_;
-      Next.Do_();
+      Next.Task_();
     }
     Now_ = End;
   }
 
 private:
-  struct Later {
+  struct ScheduledTask {
     MonoTime At_;
-    std::uint64_t Order_;
-    std::function<void()> Do_;
-    bool operator<(const Later &Other) const {
-      return std::tie(Other.At_, Other.Order_) < std::tie(At_, Order_);
+    std::uint64_t Sequence_;
+    std::function<void()> Task_;
+    bool operator<(const ScheduledTask &Other) const {
+      return std::tie(Other.At_, Other.Sequence_) < std::tie(At_, Sequence_);
     }
   };
 
-  std::priority_queue<Later> Queue_;
+  std::priority_queue<ScheduledTask> Queue_;
   MonoTime Now_{std::chrono::seconds(100)};
   MonoTime Start_ = Now_;
-  std::uint64_t Order_ = 0;
+  std::uint64_t Sequence_ = 0;
 };
 
 } // namespace thymewall::test
--- a/test/fleet.cc
+++ b/test/fleet.cc
@@ -7,8 +7,8 @@
 
 namespace {
 
-constexpr Micros TickEvery = milliseconds(10);
-constexpr Micros HeartbeatEvery = milliseconds(500);
+constexpr Micros TickInterval = milliseconds(10);
+constexpr Micros HeartbeatInterval = milliseconds(500);
 const char *const ServiceNames[] = {"index", "archive"};
 
 Endpoint callerAddress(std::size_t I) {
@@ -17,7 +17,7 @@
 Endpoint nodeAddress(std::size_t I) {
   return Endpoint::v4(0x0b000000U + static_cast<std::uint32_t>(I), 7100);
 }
-Endpoint hostAddress(std::size_t I) {
+Endpoint upstreamAddress(std::size_t I) {
   return Endpoint::v4(0x0c000000U + static_cast<std::uint32_t>(I), 9000);
 }
 ServiceId serviceAt(std::size_t I) {
@@ -34,11 +34,11 @@
 Fleet::Fleet(const FleetOptions &Options, const std::vector<Fault> &Faults)
     : Options_(Options), Random_(Options.Seed_) {
   for (std::size_t I = 0; I < Options.Upstreams_; ++I) {
-    Host H;
-    H.At_ = hostAddress(I);
+    FakeUpstream H;
+    H.At_ = upstreamAddress(I);
     H.Id_ = static_cast<UpstreamId>(nameId("up-" + std::to_string(I)));
     H.Incarnation_ = static_cast<Incarnation>(++NextIncarnation_);
-    Hosts_.push_back(H);
+    FakeUpstreams_.push_back(H);
     Roles_.emplace_back(ServiceNames[I % 2]);
   }
   publish([](std::size_t, std::string &) {});
@@ -49,35 +49,36 @@
     Callers_.emplace_back();
     Callers_[C].Service_ = serviceAt(C);
     Callers_[C].At_ = callerAddress(C);
-    at(milliseconds(C * 10), [this, C] { openFlow(C); });
+    schedule(milliseconds(C * 10), [this, C] { openFlow(C); });
   }
   for (const Fault &F : Faults)
-    at(F.At_, [this, F] { inject(F); });
-  at(HeartbeatEvery, [this] { heartbeat(); });
+    schedule(F.At_, [this, F] { inject(F); });
+  schedule(HeartbeatInterval, [this] { heartbeat(); });
 }
 
-Seen Fleet::run() {
-  while (!Queue_.empty() && Queue_.top().At_ <= Options_.Length_) {
-    Timed Next = Queue_.top();
+FleetResults Fleet::run() {
+  while (!Queue_.empty() && Queue_.top().At_ <= Options_.Duration_) {
+    TimedTask Next = Queue_.top();
     Queue_.pop();
     Now_ = Next.At_;
-    Next.Work_();
+    Next.Task_();
   }
-  settle();
-  return Seen_;
+  collectResults();
+  return Results_;
 }
 
-Fleet::Wire Fleet::wireOf(const Message &M) {
+Fleet::Datagram Fleet::serialize(const Message &M) {
   std::uint8_t Buffer[MaxDatagramSize + MaxHeaderSize];
   return {Buffer, Buffer + encode(M, Buffer, sizeof Buffer)};
 }
 
-void Fleet::at(Time When, Work Do) {
-  Queue_.push({When, ++Order_, std::move(Do)});
+void Fleet::schedule(Time When, Task Do) {
+  Queue_.push({When, ++Sequence_, std::move(Do)});
 }
 
 Moment Fleet::moment(const Node &N) const {
-  return {MonoTime(Epoch + Now_), WallTime(Epoch + Now_ + N.Skew_)};
+  return {MonoTime(StartTime + Now_),
+          WallTime(StartTime + Now_ + N.ClockOffset_)};
 }
 
 void Fleet::startNode(std::size_t I) {
@@ -94,48 +95,50 @@
                       .zones(noZones())
                       .build());
   if (Now_ >= PlatformDownUntil_)
-    give(I, DeclarationRead{Published_.back()});
-  Incarnation Of = N.Incarnation_;
-  at(Now_, [this, I, Of] { tick(I, Of); });
+    handleEvent(I, DeclarationRead{Published_.back()});
+  Incarnation Expected = N.Incarnation_;
+  schedule(Now_, [this, I, Expected] { tick(I, Expected); });
 }
 
-void Fleet::give(std::size_t I, const Event &What) {
-  ++Seen_.Events_;
+void Fleet::handleEvent(std::size_t I, const Event &What) {
+  ++Results_.Events_;
   Nodes_[I].Core_->handle(moment(Nodes_[I]), What,
-                          [this, I](const Action &A) { act(I, A); });
+                          [this, I](const Action &A) { perform(I, A); });
 }
 
-void Fleet::tick(std::size_t I, Incarnation Of) {
+void Fleet::tick(std::size_t I, Incarnation Expected) {
   Node &N = Nodes_[I];
-  if (N.Incarnation_ != Of || !N.Core_)
+  if (N.Incarnation_ != Expected || !N.Core_)
     return;
   if (Now_ < N.FrozenUntil_)
-    return at(N.FrozenUntil_, [this, I, Of] { tick(I, Of); });
-  std::vector<Work> Waiting;
-  Waiting.swap(N.Inbox_);
-  for (const Work &Deliver : Waiting)
+    return schedule(N.FrozenUntil_, [this, I, Expected] { tick(I, Expected); });
+  std::vector<Task> Pending;
+  Pending.swap(N.Inbox_);
+  for (const Task &Deliver : Pending)
     if (N.Core_)
       Deliver();
   if (!N.Core_)
     return;
-  give(I, Tick{});
-  at(Now_ + TickEvery, [this, I, Of] { tick(I, Of); });
+  handleEvent(I, Tick{});
+  schedule(Now_ + TickInterval, [this, I, Expected] { tick(I, Expected); });
 }
 
-Fleet::Time Fleet::flight() {
-  auto Spread = std::chrono::duration_cast<Micros>(milliseconds(1) * draw());
-  if (draw() < Options_.Delay_)
-    Spread += std::chrono::duration_cast<Micros>(milliseconds(100) * draw());
-  return Now_ + Micros(200) + Spread;
+Fleet::Time Fleet::arrivalTime() {
+  auto Delay =
+      std::chrono::duration_cast<Micros>(milliseconds(1) * randomFraction());
+  if (randomFraction() < Options_.DelayedShare_)
+    Delay += std::chrono::duration_cast<Micros>(milliseconds(100) *
+                                                randomFraction());
+  return Now_ + Micros(200) + Delay;
 }
 
-bool Fleet::cut(std::size_t From, std::size_t To) const {
-  return Cuts_.count({From, To}) != 0;
+bool Fleet::isPartitioned(std::size_t From, std::size_t To) const {
+  return Partitions_.count({From, To}) != 0;
 }
 
 /// Delivers to whichever process has the balancer's address by then.
-void Fleet::toNode(std::size_t I, const Work &Deliver) {
-  at(flight(), [this, I, Deliver] {
+void Fleet::sendToNode(std::size_t I, const Task &Deliver) {
+  schedule(arrivalTime(), [this, I, Deliver] {
     Node &N = Nodes_[I];
     if (!N.Core_)
       return;
@@ -146,76 +149,80 @@
   });
 }
 
-void Fleet::act(std::size_t I, const Action &A) {
+void Fleet::perform(std::size_t I, const Action &A) {
   Node &N = Nodes_[I];
   if (const auto *To = std::get_if<ToCaller>(&A)) {
-    auto Known = CallerOf_.find(raw(To->Message_.Flow_));
-    if (Known == CallerOf_.end() || draw() < Options_.Loss_)
+    auto Found = CallerByFlow_.find(raw(To->Message_.Flow_));
+    if (Found == CallerByFlow_.end() || randomFraction() < Options_.LossRate_)
       return;
-    std::size_t C = Known->second;
-    Wire Bytes = wireOf(To->Message_);
-    at(flight(), [this, C, Bytes] { callerReceives(C, Bytes); });
+    std::size_t C = Found->second;
+    Datagram Bytes = serialize(To->Message_);
+    schedule(arrivalTime(), [this, C, Bytes] { callerReceives(C, Bytes); });
   } else if (const auto *Up = std::get_if<ToUpstream>(&A)) {
-    for (std::size_t H = 0; H < Hosts_.size(); ++H)
-      if (Hosts_[H].At_ == Up->To_ && draw() >= Options_.Loss_) {
-        Wire Bytes = wireOf(Up->Message_);
+    for (std::size_t H = 0; H < FakeUpstreams_.size(); ++H)
+      if (FakeUpstreams_[H].At_ == Up->To_ &&
+          randomFraction() >= Options_.LossRate_) {
+        Datagram Bytes = serialize(Up->Message_);
         Endpoint From = N.Data_;
-        at(flight(), [this, H, From, Bytes] { hostReceives(H, From, Bytes); });
+        schedule(arrivalTime(),
+                 [this, H, From, Bytes] { upstreamReceives(H, From, Bytes); });
       }
   } else if (const auto *Peer = std::get_if<ToPeer>(&A)) {
     std::uint8_t Buffer[MaxDatagramSize + 2 * MaxHeaderSize];
     std::size_t Size =
         encodePeer(Peer->Datagram_, secret(), Buffer, sizeof Buffer);
-    Wire Bytes(Buffer, Buffer + Size);
+    Datagram Bytes(Buffer, Buffer + Size);
     Endpoint From = N.Data_;
-    int Copies = (draw() >= Options_.Loss_) + (draw() < Options_.Repeat_);
+    int Copies = (randomFraction() >= Options_.LossRate_) +
+                 (randomFraction() < Options_.DuplicateRate_);
     for (std::size_t J = 0; J < Nodes_.size(); ++J)
       for (int K = 0; K < Copies; ++K)
-        if (Nodes_[J].Data_ == Peer->To_ && !cut(I, J))
-          toNode(J, [this, J, From, Bytes] {
+        if (Nodes_[J].Data_ == Peer->To_ && !isPartitioned(I, J))
+          sendToNode(J, [this, J, From, Bytes] {
             FromPeer E{From, {}};
             std::array<SecretKey, 2> Keys{secret(), secret()};
             if (decodePeer(Bytes.data(), Bytes.size(), Keys, E.Datagram_) ==
                 ErrorKind::None)
-              give(J, E);
+              handleEvent(J, E);
           });
-  } else if (const auto *New = std::get_if<DeclarationApplied>(&A)) {
+  } else if (const auto *Applied = std::get_if<DeclarationApplied>(&A)) {
     if (N.AppliedDeclaration_ &&
-        New->Declaration_->Version_ < N.AppliedDeclaration_->Version_)
-      ++Seen_.VersionsBack_;
-    N.AppliedDeclaration_ = New->Declaration_;
-  } else if (const auto *Told = std::get_if<BroadcastSuccession>(&A)) {
-    Succession S = Told->Succession_;
+        Applied->Declaration_->Version_ < N.AppliedDeclaration_->Version_)
+      ++Results_.VersionRollbacks_;
+    N.AppliedDeclaration_ = Applied->Declaration_;
+  } else if (const auto *Broadcast = std::get_if<BroadcastSuccession>(&A)) {
+    Succession S = Broadcast->Succession_;
     for (std::size_t J = 0; J < Nodes_.size(); ++J)
-      if (J != I && Nodes_[J].Core_ && !cut(I, J))
-        toNode(J, [this, J, S] { give(J, SuccessionReceived{S}); });
+      if (J != I && Nodes_[J].Core_ && !isPartitioned(I, J))
+        sendToNode(J, [this, J, S] { handleEvent(J, SuccessionReceived{S}); });
   } else if (std::get_if<Stopped>(&A)) {
     // The core is inside its own call, so it ends at the next step.
-    Incarnation Of = N.Incarnation_;
-    at(Now_, [this, I, Of] {
-      if (Nodes_[I].Incarnation_ == Of)
+    Incarnation Expected = N.Incarnation_;
+    schedule(Now_, [this, I, Expected] {
+      if (Nodes_[I].Incarnation_ == Expected)
         Nodes_[I].Core_.reset();
     });
-  } else if (const auto *Asks = std::get_if<RereadSources>(&A)) {
-    reread(I, Asks->RereadId_);
+  } else if (const auto *Reread = std::get_if<RereadSources>(&A)) {
+    reread(I, Reread->RereadId_);
   }
 }
 
 /// What the platform, or else every peer, answers to a balancer that has woken.
-void Fleet::reread(std::size_t I, std::uint64_t Asked) {
+void Fleet::reread(std::size_t I, std::uint64_t RereadId) {
   if (Now_ >= PlatformDownUntil_) {
     DeclarationPtr Latest = Published_.back();
-    return toNode(I, [this, I, Latest, Asked] {
-      give(I, DeclarationRead{Latest, Asked});
+    return sendToNode(I, [this, I, Latest, RereadId] {
+      handleEvent(I, DeclarationRead{Latest, RereadId});
     });
   }
   for (std::size_t J = 0; J < Nodes_.size(); ++J)
-    if (J != I && Nodes_[J].Core_ && !cut(I, J) && !cut(J, I))
-      toNode(J, [this, I, J, Asked] {
-        DeclarationPtr Has = Nodes_[J].AppliedDeclaration_;
-        toNode(I, [this, I, Has, Asked] {
-          if (Has)
-            give(I, DeclarationRead{Has, Asked});
+    if (J != I && Nodes_[J].Core_ && !isPartitioned(I, J) &&
+        !isPartitioned(J, I))
+      sendToNode(J, [this, I, J, RereadId] {
+        DeclarationPtr Current = Nodes_[J].AppliedDeclaration_;
+        sendToNode(I, [this, I, Current, RereadId] {
+          if (Current)
+            handleEvent(I, DeclarationRead{Current, RereadId});
         });
       });
 }
@@ -227,25 +234,26 @@
     Node &From = Nodes_[I];
     if (!From.Core_ || Now_ < From.FrozenUntil_)
       continue;
-    HeartbeatReceived Beat{static_cast<BalancerId>(I + 1), From.Data_,
-                           From.Incarnation_, From.Leaving_};
-    DeclarationPtr Has = From.AppliedDeclaration_;
+    HeartbeatReceived Heartbeat{static_cast<BalancerId>(I + 1), From.Data_,
+                                From.Incarnation_, From.Leaving_};
+    DeclarationPtr Current = From.AppliedDeclaration_;
     for (std::size_t J = 0; J < Nodes_.size(); ++J) {
-      if (J == I || !Nodes_[J].Core_ || cut(I, J))
+      if (J == I || !Nodes_[J].Core_ || isPartitioned(I, J))
         continue;
-      toNode(J, [this, J, Beat, Has] {
-        give(J, Beat);
-        if (Has)
-          give(J, DeclarationRead{Has});
+      sendToNode(J, [this, J, Heartbeat, Current] {
+        handleEvent(J, Heartbeat);
+        if (Current)
+          handleEvent(J, DeclarationRead{Current});
       });
     }
     if (Now_ < PlatformDownUntil_)
       continue;
-    bool Stale = Now_ < PlatformStaleUntil_ && draw() < 0.5;
+    bool Stale = Now_ < PlatformStaleUntil_ && randomFraction() < 0.5;
     DeclarationPtr Latest = Stale ? Published_.front() : Published_.back();
-    toNode(I, [this, I, Latest] { give(I, DeclarationRead{Latest}); });
+    sendToNode(I,
+               [this, I, Latest] { handleEvent(I, DeclarationRead{Latest}); });
   }
-  at(Now_ + HeartbeatEvery, [this] { heartbeat(); });
+  schedule(Now_ + HeartbeatInterval, [this] { heartbeat(); });
 }
 
 void Fleet::publish(
@@ -256,9 +264,9 @@
     for (const char *Name : ServiceNames) {
       auto Id = static_cast<ServiceId>(nameId(Name));
       if (Roles_[I] == Name)
-        Hosts_[I].LeftAt_.erase(Id);
+        FakeUpstreams_[I].DrainedAt_.erase(Id);
       else if (Before == Name)
-        Hosts_[I].LeftAt_[Id] = Now_;
+        FakeUpstreams_[I].DrainedAt_[Id] = Now_;
     }
   }
   auto Version = std::to_string(Published_.size() + 1);
@@ -266,12 +274,12 @@
   Text += R"({"name": "index", "port": 1, "deadline_ms": 1000},)";
   Text += R"({"name": "archive", "port": 2, "deadline_ms": 1000}],)";
   Text += "\"upstreams\": [";
-  for (std::size_t I = 0; I < Hosts_.size(); ++I)
+  for (std::size_t I = 0; I < FakeUpstreams_.size(); ++I)
     Text += std::string(I == 0 ? "" : ",") + "{\"name\": \"up-" +
             std::to_string(I) + "\", \"address\": \"" +
-            formatEndpoint(Hosts_[I].At_) +
+            formatEndpoint(FakeUpstreams_[I].At_) +
             "\", \"data_hall\": \"h\", \"remembers_requests\": " +
-            (Options_.Remember_ ? "true" : "false") +
+            (Options_.UpstreamsRemember_ ? "true" : "false") +
             ", \"labels\": {\"role\": \"" + Roles_[I] + "\"}}";
   Text += "], \"selectors\": [";
   Text += R"({"service": "index", "terms": [{"key": "role", "op": "in",)";
@@ -287,9 +295,10 @@
 }
 
 void Fleet::inject(const Fault &F) {
-  std::size_t I = F.Which_ % Nodes_.size();
-  std::size_t J = (I + 1 + F.Which_ / 7 % (Nodes_.size() - 1)) % Nodes_.size();
-  std::size_t H = F.Which_ % Hosts_.size();
+  std::size_t I = F.Parameter_ % Nodes_.size();
+  std::size_t J =
+      (I + 1 + F.Parameter_ / 7 % (Nodes_.size() - 1)) % Nodes_.size();
+  std::size_t H = F.Parameter_ % FakeUpstreams_.size();
   Node &N = Nodes_[I];
   switch (F.Kind_) {
   case FaultKind::KillBalancer:
@@ -304,21 +313,21 @@
     if (!N.Core_ || Now_ < N.FrozenUntil_)
       return;
     N.Leaving_ = true;
-    return give(I, StopRequested{});
+    return handleEvent(I, StopRequested{});
   case FaultKind::FreezeBalancer:
-    N.FrozenUntil_ = Now_ + milliseconds(500 + F.Which_ % 3000);
+    N.FrozenUntil_ = Now_ + milliseconds(500 + F.Parameter_ % 3000);
     return;
-  case FaultKind::CutOneWay:
-  case FaultKind::CutBothWays:
-    Cuts_.insert({I, J});
-    if (F.Kind_ == FaultKind::CutBothWays)
-      Cuts_.insert({J, I});
-    return at(Now_ + seconds(2), [this, I, J] {
-      Cuts_.erase({I, J});
-      Cuts_.erase({J, I});
+  case FaultKind::PartitionOneWay:
+  case FaultKind::PartitionBothWays:
+    Partitions_.insert({I, J});
+    if (F.Kind_ == FaultKind::PartitionBothWays)
+      Partitions_.insert({J, I});
+    return schedule(Now_ + seconds(2), [this, I, J] {
+      Partitions_.erase({I, J});
+      Partitions_.erase({J, I});
     });
   case FaultKind::ClockStep:
-    N.Skew_ = milliseconds(static_cast<int>(F.Which_ % 400) - 200);
+    N.ClockOffset_ = milliseconds(static_cast<int>(F.Parameter_ % 400) - 200);
     return;
   case FaultKind::PlatformDown:
     PlatformDownUntil_ = Now_ + seconds(3);
@@ -337,39 +346,40 @@
     });
   case FaultKind::UpstreamRestart:
   case FaultKind::UpstreamReplaced:
-    Hosts_[H].Incarnation_ = static_cast<Incarnation>(++NextIncarnation_);
-    Hosts_[H].Flows_.clear();
+    FakeUpstreams_[H].Incarnation_ =
+        static_cast<Incarnation>(++NextIncarnation_);
+    FakeUpstreams_[H].Flows_.clear();
     if (F.Kind_ == FaultKind::UpstreamReplaced)
-      Hosts_[H].Only_ = serviceAt(H + 1);
+      FakeUpstreams_[H].OnlyService_ = serviceAt(H + 1);
     return;
   case FaultKind::UpstreamRefuses:
-    Hosts_[H].RefusesUntil_ = Now_ + seconds(1);
+    FakeUpstreams_[H].RefusesUntil_ = Now_ + seconds(1);
     return;
   case FaultKind::UpstreamSlow:
-    Hosts_[H].SlowUntil_ = Now_ + seconds(1);
+    FakeUpstreams_[H].SlowUntil_ = Now_ + seconds(1);
     return;
   case FaultKind::Count:
     return;
   }
 }
 
-std::size_t Fleet::anyNode() { return Random_() % Nodes_.size(); }
+std::size_t Fleet::randomNode() { return Random_() % Nodes_.size(); }
 
-void Fleet::settle() {
-  for (const auto &[Uid, Count] : RunsOf_)
-    Seen_.Doubled_ += Count > 1;
-  for (std::uint64_t Uid : NotRunTold_)
-    Seen_.FalseNotRun_ += Ran_.count(Uid);
-  for (std::uint64_t Uid : AnsweredOnce_)
-    Seen_.AnsweredUnrun_ += 1 - RunsOf_.count(Uid);
-  Seen_.AllInForce_ = true;
+void Fleet::collectResults() {
+  for (const auto &[PayloadId, Count] : RunCounts_)
+    Results_.RanTwice_ += Count > 1;
+  for (std::uint64_t PayloadId : ReportedNotRun_)
+    Results_.FalseNotRun_ += RunPayloads_.count(PayloadId);
+  for (std::uint64_t PayloadId : AnsweredAtMostOnce_)
+    Results_.AnsweredWithoutRun_ += 1 - RunCounts_.count(PayloadId);
+  Results_.Converged_ = true;
   for (const Node &N : Nodes_) {
     if (!N.Core_)
       continue;
-    Seen_.Adopted_ += N.Core_->counters().Adopted_;
-    Seen_.Rehomed_ += N.Core_->counters().Rehomed_;
-    bool Has = N.AppliedDeclaration_ == Published_.back();
-    Seen_.AllInForce_ = Seen_.AllInForce_ && Has;
+    Results_.Adopted_ += N.Core_->counters().Adopted_;
+    Results_.Rehomed_ += N.Core_->counters().Rehomed_;
+    bool Current = N.AppliedDeclaration_ == Published_.back();
+    Results_.Converged_ = Results_.Converged_ && Current;
   }
 }
 
--- a/test/message-test.cc
+++ b/test/message-test.cc
@@ -46,8 +46,8 @@
 TEST_CASE("a message that does not fit is not written") {
   std::uint8_t Buffer[512];
   std::size_t Size = encode(sample(), Buffer, sizeof Buffer);
-  for (std::size_t Room = 0; Room < Size; ++Room)
-    CHECK(encode(sample(), Buffer, Room) == 0);
+  for (std::size_t BufferSize = 0; BufferSize < Size; ++BufferSize)
+    CHECK(encode(sample(), Buffer, BufferSize) == 0);
 }
 
 TEST_CASE("truncated, longer and oversized datagrams are malformed") {
@@ -61,10 +61,10 @@
 }
 
 TEST_CASE("a part beyond the parts is malformed") {
-  Message Wrong = sample();
-  Wrong.Part_ = 3;
+  Message Invalid = sample();
+  Invalid.Part_ = 3;
   std::uint8_t Buffer[512];
-  std::size_t Size = encode(Wrong, Buffer, sizeof Buffer);
+  std::size_t Size = encode(Invalid, Buffer, sizeof Buffer);
   Message M;
   CHECK(decode(Buffer, Size, M) == ErrorKind::Malformed);
 }
--- a/test/promises-test.cc
+++ b/test/promises-test.cc
@@ -10,43 +10,44 @@
 
 namespace {
 
-std::uint64_t EventsInAll = 0;
+std::uint64_t TotalEvents = 0;
 
 /// Faults of the given kinds, spread over a run.
-std::vector<Fault> faultsOf(const std::vector<FaultKind> &Kinds,
-                            std::size_t Most, Micros Until) {
-  auto Count = *rc::gen::inRange<std::size_t>(1, Most + 1);
+std::vector<Fault> generateFaults(const std::vector<FaultKind> &Kinds,
+                                  std::size_t MaxCount, Micros Until) {
+  auto Count = *rc::gen::inRange<std::size_t>(1, MaxCount + 1);
   std::vector<Fault> Result;
   for (std::size_t I = 0; I < Count; ++I) {
     Fault F;
     F.Kind_ = *rc::gen::elementOf(Kinds);
     F.At_ = milliseconds(
         *rc::gen::inRange<int>(500, static_cast<int>(Until / milliseconds(1))));
-    F.Which_ = *rc::gen::inRange<unsigned>(0, 10'000);
+    F.Parameter_ = *rc::gen::inRange<unsigned>(0, 10'000);
     Result.push_back(F);
   }
   return Result;
 }
 
-Seen runFleet(const FleetOptions &Options, const std::vector<Fault> &Faults) {
-  Seen S = Fleet(Options, Faults).run();
-  EventsInAll += S.Events_;
-  for (const auto &[Reason, Number] : S.Reasons_)
+FleetResults runFleet(const FleetOptions &Options,
+                      const std::vector<Fault> &Faults) {
+  FleetResults S = Fleet(Options, Faults).run();
+  TotalEvents += S.Events_;
+  for (const auto &[Reason, Number] : S.OutcomeUnknownReasons_)
     RC_LOG() << "unknown outcomes, " << Reason << ": " << Number << "\n";
   return S;
 }
 
 /// What must hold whatever happens.
-void assertAlways(const Seen &S) {
-  RC_ASSERT(S.Doubled_ == 0U);
+void assertInvariants(const FleetResults &S) {
+  RC_ASSERT(S.RanTwice_ == 0U);
   RC_ASSERT(S.FalseNotRun_ == 0U);
-  RC_ASSERT(S.AnsweredUnrun_ == 0U);
+  RC_ASSERT(S.AnsweredWithoutRun_ == 0U);
   RC_ASSERT(S.WrongService_ == 0U);
   RC_ASSERT(S.MixedAnswers_ == 0U);
-  RC_ASSERT(S.VersionsBack_ == 0U);
+  RC_ASSERT(S.VersionRollbacks_ == 0U);
 }
 
-std::vector<FaultKind> everyKind() {
+std::vector<FaultKind> allFaultKinds() {
   std::vector<FaultKind> Kinds;
   Kinds.reserve(static_cast<std::size_t>(FaultKind::Count));
   for (int I = 0; I < static_cast<int>(FaultKind::Count); ++I)
@@ -54,12 +55,12 @@
   return Kinds;
 }
 
-FleetOptions roughNetwork() {
+FleetOptions lossyNetwork() {
   FleetOptions O;
   O.Seed_ = *rc::gen::arbitrary<std::uint64_t>();
-  O.Loss_ = *rc::gen::element(0.0, 0.02, 0.1);
-  O.Repeat_ = *rc::gen::element(0.0, 0.2);
-  O.Delay_ = *rc::gen::element(0.0, 0.2);
+  O.LossRate_ = *rc::gen::element(0.0, 0.02, 0.1);
+  O.DuplicateRate_ = *rc::gen::element(0.0, 0.2);
+  O.DelayedShare_ = *rc::gen::element(0.0, 0.2);
   return O;
 }
 
@@ -67,24 +68,27 @@
 
 TEST_CASE("every promise but unbroken flows holds under any faults") {
   CHECK(rc::check("any faults, upstreams without memory", [] {
-    FleetOptions O = roughNetwork();
-    assertAlways(runFleet(O, faultsOf(everyKind(), 12, seconds(9))));
+    FleetOptions O = lossyNetwork();
+    assertInvariants(
+        runFleet(O, generateFaults(allFaultKinds(), 12, seconds(9))));
   }));
 }
 
 TEST_CASE("an upstream that remembers requests runs none twice") {
   CHECK(rc::check("any faults, upstreams with memory", [] {
-    FleetOptions O = roughNetwork();
-    O.Remember_ = true;
-    assertAlways(runFleet(O, faultsOf(everyKind(), 12, seconds(9))));
+    FleetOptions O = lossyNetwork();
+    O.UpstreamsRemember_ = true;
+    assertInvariants(
+        runFleet(O, generateFaults(allFaultKinds(), 12, seconds(9))));
   }));
 }
 
 TEST_CASE("routes of other flows and services never cross services") {
   CHECK(rc::check("any faults, forged routes", [] {
-    FleetOptions O = roughNetwork();
-    O.Forge_ = true;
-    assertAlways(runFleet(O, faultsOf(everyKind(), 6, seconds(9))));
+    FleetOptions O = lossyNetwork();
+    O.ForgeRoutes_ = true;
+    assertInvariants(
+        runFleet(O, generateFaults(allFaultKinds(), 6, seconds(9))));
   }));
 }
 
@@ -92,13 +96,13 @@
   CHECK(rc::check("planned changes", [] {
     FleetOptions O;
     O.Seed_ = *rc::gen::arbitrary<std::uint64_t>();
-    O.Repeat_ = *rc::gen::element(0.0, 0.2);
-    Seen S =
-        runFleet(O, faultsOf({FaultKind::Relabel, FaultKind::Drain,
-                              FaultKind::JoinBalancer, FaultKind::PlatformDown,
-                              FaultKind::PlatformStale},
-                             6, seconds(9)));
-    assertAlways(S);
+    O.DuplicateRate_ = *rc::gen::element(0.0, 0.2);
+    FleetResults S = runFleet(
+        O, generateFaults({FaultKind::Relabel, FaultKind::Drain,
+                           FaultKind::JoinBalancer, FaultKind::PlatformDown,
+                           FaultKind::PlatformStale},
+                          6, seconds(9)));
+    assertInvariants(S);
     RC_ASSERT(S.BrokenFlows_ == 0U);
     RC_ASSERT(S.OutcomeUnknown_ == 0U);
     RC_ASSERT(S.NoFinalAnswer_ == 0U);
@@ -110,14 +114,14 @@
   CHECK(rc::check("one balancer stops", [] {
     FleetOptions O;
     O.Seed_ = *rc::gen::arbitrary<std::uint64_t>();
-    O.Repeat_ = *rc::gen::element(0.0, 0.2);
-    O.Delay_ = *rc::gen::element(0.0, 0.2);
-    O.PauseUpTo_ = seconds(4); // some flows are idle through the whole stop
+    O.DuplicateRate_ = *rc::gen::element(0.0, 0.2);
+    O.DelayedShare_ = *rc::gen::element(0.0, 0.2);
+    O.MaxPause_ = seconds(4); // some flows are idle through the whole stop
     Fault Stop{FaultKind::StopBalancer,
                milliseconds(*rc::gen::inRange(2000, 4000)),
                *rc::gen::inRange(0U, 4U)};
-    Seen S = runFleet(O, {Stop});
-    assertAlways(S);
+    FleetResults S = runFleet(O, {Stop});
+    assertInvariants(S);
     RC_ASSERT(S.BrokenFlows_ == 0U);
     RC_ASSERT(S.OutcomeUnknown_ == 0U);
     RC_ASSERT(S.NotRun_ == 0U);
@@ -133,8 +137,8 @@
     Fault Kill{FaultKind::KillBalancer,
                milliseconds(*rc::gen::inRange(1000, 4000)),
                *rc::gen::inRange(0U, 4U)};
-    Seen S = runFleet(O, {Kill});
-    assertAlways(S);
+    FleetResults S = runFleet(O, {Kill});
+    assertInvariants(S);
     RC_ASSERT(S.BrokenFlows_ == 0U);
     RC_ASSERT(S.NoFinalAnswer_ == 0U);
     RC_ASSERT(S.Rehomed_ > 0U);
@@ -153,9 +157,9 @@
     for (unsigned I = 0; I < 4; ++I) // and flows are opened anew
       Faults.push_back(
           {FaultKind::UpstreamRestart, milliseconds(3000 + 400 * I), 1 + I});
-    Seen S = runFleet(O, Faults);
-    assertAlways(S);
-    RC_ASSERT(S.LateNewWork_ == 0U);
+    FleetResults S = runFleet(O, Faults);
+    assertInvariants(S);
+    RC_ASSERT(S.LateOpens_ == 0U);
   }));
 }
 
@@ -164,17 +168,17 @@
     FleetOptions O;
     O.Seed_ = *rc::gen::arbitrary<std::uint64_t>();
     O.Flows_ = 10;
-    Seen S =
-        runFleet(O, faultsOf({FaultKind::Relabel, FaultKind::Drain,
-                              FaultKind::PlatformStale, FaultKind::CutOneWay,
-                              FaultKind::RestartBalancer},
-                             10, seconds(8)));
-    RC_ASSERT(S.VersionsBack_ == 0U);
-    RC_ASSERT(S.AllInForce_);
+    FleetResults S = runFleet(
+        O, generateFaults({FaultKind::Relabel, FaultKind::Drain,
+                           FaultKind::PlatformStale, FaultKind::PartitionOneWay,
+                           FaultKind::RestartBalancer},
+                          10, seconds(8)));
+    RC_ASSERT(S.VersionRollbacks_ == 0U);
+    RC_ASSERT(S.Converged_);
   }));
 }
 
 TEST_CASE("enough events were run") {
-  std::cout << "core events under faults: " << EventsInAll << "\n";
-  CHECK(EventsInAll > 200'000U);
+  std::cout << "core events under faults: " << TotalEvents << "\n";
+  CHECK(TotalEvents > 200'000U);
 }
--- a/test/timed-table-test.cc
+++ b/test/timed-table-test.cc
@@ -9,13 +9,13 @@
 
 namespace {
 
-FlowRow rowOf(std::uint64_t Flow) {
+FlowRow makeRow(std::uint64_t Flow) {
   FlowRow Row;
   Row.Flow_ = FlowId{Flow};
   return Row;
 }
 
-FlowKey keyOf(std::uint64_t Flow) { return {ServiceId{}, FlowId{Flow}}; }
+FlowKey makeKey(std::uint64_t Flow) { return {ServiceId{}, FlowId{Flow}}; }
 
 } // namespace
 
@@ -29,12 +29,12 @@
     for (auto [Kind, Value] : Steps) {
       auto Flow = static_cast<std::uint64_t>(Value % 100);
       std::uint32_t Due = Now + 1 + static_cast<std::uint32_t>(Value);
-      FlowRow *Row = Table.find(keyOf(Flow));
+      FlowRow *Row = Table.find(makeKey(Flow));
       RC_ASSERT((Row != nullptr) == (Model.count(Flow) != 0));
       if (Kind == 0 && !Row) {
-        bool Placed = Table.insert(rowOf(Flow), Due) != nullptr;
-        RC_ASSERT(Placed == (Model.size() < 64));
-        if (Placed)
+        bool Inserted = Table.insert(makeRow(Flow), Due) != nullptr;
+        RC_ASSERT(Inserted == (Model.size() < 64));
+        if (Inserted)
           Model[Flow] = Due;
       } else if (Kind == 1 && Row) {
         Table.rearm(*Row, Due);
@@ -46,13 +46,13 @@
         Now += static_cast<std::uint32_t>(Value);
         std::set<std::uint64_t> Expired;
         Table.expire(Now, [&](FlowRow &R) { Expired.insert(raw(R.Flow_)); });
-        std::set<std::uint64_t> Wanted;
-        for (auto [Which, At] : Model)
-          if (At <= Now)
-            Wanted.insert(Which);
-        RC_ASSERT(Expired == Wanted);
-        for (std::uint64_t Which : Wanted)
-          Model.erase(Which);
+        std::set<std::uint64_t> Expected;
+        for (auto [ExpiredFlow, Tick] : Model)
+          if (Tick <= Now)
+            Expected.insert(ExpiredFlow);
+        RC_ASSERT(Expired == Expected);
+        for (std::uint64_t ExpiredFlow : Expected)
+          Model.erase(ExpiredFlow);
       }
       RC_ASSERT(Table.size() == Model.size());
     }
@@ -61,11 +61,11 @@
 
 TEST_CASE("a row that is rearmed while it expires stays") {
   FlowTable Table(8);
-  Table.insert(rowOf(1), 5);
+  Table.insert(makeRow(1), 5);
   Table.expire(5, [&](FlowRow &Row) { Table.rearm(Row, 9); });
-  CHECK(Table.find(keyOf(1)) != nullptr);
+  CHECK(Table.find(makeKey(1)) != nullptr);
   Table.expire(9, [](FlowRow &) {});
-  CHECK(Table.find(keyOf(1)) == nullptr);
+  CHECK(Table.find(makeKey(1)) == nullptr);
 }
 
 TEST_CASE("request numbers are used once, in any order") {
