--- a/include/thymewall/balancer.h
+++ b/include/thymewall/balancer.h
@@ -1,10 +1,9 @@
 /// \file
-/// The decision core of a balancer, and how a harness drives it.
+/// The decision core of the request balancer.
 ///
-/// The core owns no socket, thread, clock or source of randomness. A harness
-/// gives it events with the time at which they happened, and carries out the
-/// actions that it gets back. Two cores with the same builder settings and the
-/// same events take the same actions.
+/// The core has no sockets, threads, clocks or random device. The embedding
+/// process passes it events with their time and carries out the actions that it
+/// emits. The same settings and events always produce the same actions.
 ///
 ///   Balancer B = BalancerBuilder()
 ///                    .name("lb-1")
@@ -17,11 +16,10 @@
 ///   ActionSink Sink = [](const Action &A) { ... };
 ///   B.handle(Now, DeclarationRead{Declaration}, Sink);
 ///   B.handle(Now, FromCaller{Caller, OpenMessage, WireSize}, Sink);
-///   B.handle(Now, Tick{}, Sink); // about every `TickInterval`
+///   B.handle(Now, Tick{}, Sink); // every `TickInterval`
 ///
-/// Byte fields of a message in an action are valid only during the call of the
-/// sink. Everything else that the core reports is read with `status` and
-/// `counters`.
+/// Byte fields of a message in an action are valid only until the sink returns.
+/// `status` and `counters` report the core's state.
 #ifndef THYMEWALL_BALANCER_H
 #define THYMEWALL_BALANCER_H
 
@@ -35,46 +33,52 @@
 
 namespace thymewall {
 
-/// A caller's datagram; `Message_.Service_` is that of the socket.
+/// A datagram from a caller; `Message_.Service_` is the socket's service.
 struct FromCaller {
   Endpoint From_;
   Message Message_;
-  std::size_t WireSize_ = 0; ///< Bounds the size of a first reply.
+  std::size_t WireSize_ = 0; ///< Bytes; an `Open` below `MinOpenSize` is
+                             ///< dropped.
 };
+/// A datagram from an upstream.
 struct FromUpstream {
   Endpoint From_;
   Message Message_;
 };
+/// A datagram from another balancer.
 struct FromPeer {
   Endpoint From_;
   PeerDatagram Datagram_;
 };
-/// A valid declaration was read, from the platform or from a peer. `RereadId_`
-/// is that of the `RereadSources` which the read answers: news that was under
-/// way before a pause does not end it.
+/// A valid declaration was read from the platform or a peer.
 struct DeclarationRead {
   DeclarationPtr Declaration_;
+  /// That of the `RereadSources` which this answers, or 0. Answers to an
+  /// earlier one don't make the core ready.
   std::uint64_t RereadId_ = 0;
 };
-/// A source answered that it has nothing newer than what is in force.
+/// A source has no newer declaration than the one in force.
 struct DeclarationUnchanged {
   std::uint64_t RereadId_ = 0;
 };
+/// A valid host list was read.
 struct HostListRead {
   HostListPtr HostList_;
 };
-/// A heartbeat of another balancer arrived.
+/// A heartbeat from another balancer.
 struct HeartbeatReceived {
   BalancerId Id_{};
   Endpoint Data_;
   Incarnation Incarnation_{};
   bool Leaving_ = false;
 };
+/// A stopping balancer announced its successors.
 struct SuccessionReceived {
   Succession Succession_;
 };
+/// Drives timers; due every `Balancer::TickInterval`.
 struct Tick {};
-/// The operator stops this process.
+/// The operator asked this process to stop.
 struct StopRequested {};
 
 using Event =
@@ -82,38 +86,42 @@
                  DeclarationUnchanged, HostListRead, HeartbeatReceived,
                  SuccessionReceived, Tick, StopRequested>;
 
+/// Sends a datagram to a caller.
 struct ToCaller {
   Endpoint To_;
-  Message Message_; ///< `Service_` tells from which socket to send.
+  Message Message_; ///< `Service_` selects the socket to send from.
 };
+/// Sends a datagram to an upstream.
 struct ToUpstream {
   Endpoint To_;
   Message Message_;
 };
+/// Sends a datagram to another balancer.
 struct ToPeer {
   Endpoint To_;
   PeerDatagram Datagram_;
 };
-/// Another declaration is in force from now on.
+/// A different declaration is now in force.
 struct DeclarationApplied {
   DeclarationPtr Declaration_;
 };
-/// The process was away; read the platform and the peers again.
+/// The process was suspended: reread the platform's and the peers' documents.
 struct RereadSources {
-  std::uint64_t RereadId_ = 0; ///< To be given back with what is read.
+  std::uint64_t RereadId_ = 0; ///< To be returned with the answers.
 };
-/// Tell every peer.
+/// Sends the succession to every peer.
 struct BroadcastSuccession {
   Succession Succession_;
 };
-/// All is handed over and answered; the process may end.
+/// Handover is complete and no request is open; the process may exit.
 struct Stopped {};
 
 using Action = std::variant<ToCaller, ToUpstream, ToPeer, DeclarationApplied,
                             RereadSources, BroadcastSuccession, Stopped>;
 using ActionSink = std::function<void(const Action &)>;
 
-/// How a caller's packet found its upstream.
+/// How the upstream of a caller's datagram was found: from its route, at this
+/// balancer as the home, by forwarding to the home, or not at all.
 enum class ResolvedBy : std::uint8_t { Route, Home, Passed, Refused, Count };
 
 /// Totals since the start of the process.
@@ -129,13 +137,13 @@
   std::uint64_t NotRun_ = 0;
   std::uint64_t OutcomeUnknown_ = 0;
   std::uint64_t Retries_ = 0;
-  std::uint64_t Rehomed_ = 0; ///< After a request's outcome was lost.
-  std::uint64_t Moved_ = 0;   ///< Before any request was.
-  std::uint64_t Adopted_ = 0;
+  std::uint64_t Rehomed_ = 0; ///< Taken over with a request's outcome unknown.
+  std::uint64_t Moved_ = 0;   ///< Taken over before a request was lost.
+  std::uint64_t Adopted_ = 0; ///< Requests of a stopped home run here.
   std::uint64_t LateWakes_ = 0;
 };
 
-/// What an operator sees.
+/// A snapshot of a core's state for operators.
 struct Status {
   Version DeclarationVersion_ = 0;
   std::uint64_t Digest_ = 0;
@@ -144,19 +152,21 @@
   std::size_t Flows_ = 0;
   std::size_t Requests_ = 0;
   std::size_t PendingForwards_ = 0;
-  std::size_t MemoryBytes_ = 0; ///< Of the three tables.
-  MonoTime Now_{};              ///< Of the last event; tells who is ejected.
+  std::size_t MemoryBytes_ = 0; ///< Of the flow, request and forward tables.
+  MonoTime Now_{};              ///< Time of the last event.
   std::vector<UpstreamRow> Upstreams_;
 };
 
-/// What happened to a request; the classes of the delay histograms.
+/// Classes of the delay histograms: opens, repeatable and at-most-once
+/// requests.
 enum class RequestClass : std::uint8_t { Open, Repeatable, Once };
 
-/// Called with each answered request's delay from hand-over to last part.
+/// Called for each answered request with the time from its dispatch to the last
+/// part of its answer.
 using DelayHook =
     std::function<void(ServiceId Service, RequestClass Class, Micros Delay)>;
 
-/// Settings of a core; the defaults suit an entry host of today.
+/// Settings of a core.
 struct BalancerOptions {
   std::string Name_;
   Endpoint Data_;
@@ -171,13 +181,15 @@
   std::uint32_t MaxForwards_ = 2048;
 };
 
+/// The request balancer's decision core.
 class Balancer {
 public:
-  /// How often the harness sends `Tick`, and how late one may come before the
-  /// core takes itself to have been away.
+  /// Interval at which the embedding process sends `Tick`.
   static constexpr Micros TickInterval = std::chrono::milliseconds(5);
+  /// A tick later than this means that the process was suspended.
   static constexpr Micros MaxTickDelay = std::chrono::seconds(1);
-  /// Shortest `Open` that is answered; the reply is never longer.
+  /// Size in bytes of the shortest `Open` that is answered. Replies are never
+  /// longer, so a spoofed open is not amplified.
   static constexpr std::size_t MinOpenSize = 160;
 
   explicit Balancer(BalancerOptions Options);
@@ -185,7 +197,7 @@
   Balancer &operator=(Balancer &&) noexcept;
   ~Balancer();
 
-  /// Handles one event. \p Sink is called for each action, before this returns.
+  /// Handles one event and calls \p Sink for each action before it returns.
   void handle(const Moment &Now, const Event &What, const ActionSink &Sink);
 
   const Counters &counters() const;
@@ -196,8 +208,8 @@
   std::unique_ptr<Impl> Impl_;
 };
 
-/// Builds a `Balancer`; `build` asserts that name, address, incarnation and
-/// zones were given.
+/// Builds a `Balancer`. `build` asserts that name, data address, incarnation
+/// and zones are set.
 class BalancerBuilder {
 public:
   BalancerBuilder &name(std::string Value);
--- a/include/thymewall/flow-table.h
+++ b/include/thymewall/flow-table.h
@@ -1,7 +1,7 @@
 /// \file
-/// The flows whose home is this balancer. A row is the only memory of which
-/// request numbers were handed to an upstream, so a lost row is never rebuilt
-/// under the same epoch (docs/DESIGN.md, "Home epoch").
+/// The table of flows whose home is this balancer. Only a flow's row records
+/// which request numbers were sent to an upstream, so a lost row gets a new
+/// epoch (docs/DESIGN.md, "Home epoch").
 #ifndef THYMEWALL_FLOW_TABLE_H
 #define THYMEWALL_FLOW_TABLE_H
 
@@ -10,7 +10,7 @@
 
 namespace thymewall {
 
-/// A flow within its service.
+/// Identifies a flow within its service.
 struct FlowKey {
   ServiceId Service_{};
   FlowId Flow_{};
@@ -19,9 +19,9 @@
   return A.Service_ == B.Service_ && A.Flow_ == B.Flow_;
 }
 
-/// One open flow at its home. A request number is used when it is more than
-/// 63 below `HighestNumber_` or its bit is set; bit 0 stands for
-/// `HighestNumber_`, and number 0 is the open.
+/// A flow at its home, with an anti-replay window of request numbers: a number
+/// is used if it lies `WindowWidth` or more below `HighestNumber_` or its bit
+/// in `UsedNumbers_` is set. Bit 0 is `HighestNumber_`; number 0 is the open.
 struct FlowRow {
   using Key = FlowKey;
   static constexpr std::uint32_t WindowWidth = 64;
--- a/include/thymewall/message.h
+++ b/include/thymewall/message.h
@@ -1,6 +1,6 @@
 /// \file
-/// The one datagram header that callers, balancers and upstreams exchange, and
-/// its CBOR codec (RFC 8949). Layout and meaning: docs/PROTOCOL.md.
+/// The datagram format shared by callers, balancers and upstreams, and its CBOR
+/// codec (RFC 8949). See docs/PROTOCOL.md.
 #ifndef THYMEWALL_MESSAGE_H
 #define THYMEWALL_MESSAGE_H
 
@@ -8,6 +8,7 @@
 
 namespace thymewall {
 
+/// The type of a message.
 enum class MessageKind : std::uint8_t {
   Open = 1,
   Opened,
@@ -22,13 +23,13 @@
   Reset,
   Probe,
   ProbeReply,
-  Moved, ///< To a caller: use this route for requests not yet sent.
+  Moved, ///< To a caller: send further requests with this route.
   Last = Moved
 };
 
 constexpr std::uint16_t MaxParts = 64;
 
-/// One bit for each of an answer's parts; 0 parts stand for one.
+/// Returns a mask with one bit per part of an answer; 0 parts count as 1.
 constexpr std::uint64_t allPartsMask(std::uint16_t Parts) {
   if (Parts >= MaxParts)
     return ~std::uint64_t{0};
@@ -37,17 +38,18 @@
 
 /// Bits of `Message::Flags_`.
 enum MessageFlag : std::uint8_t {
-  FlagRepeatable = 1,    ///< The request may be run more than once.
-  FlagNotRun = 2,        ///< On `Refused`: no upstream ran it.
-  FlagOutcomeUnknown = 4 ///< On `Refused`: it may have run.
+  FlagRepeatable = 1,    ///< The request may be executed more than once.
+  FlagNotRun = 2,        ///< On `Refused` and `Reset`: not executed.
+  FlagOutcomeUnknown = 4 ///< On `Refused` and `Reset`: may have run.
 };
 
+/// Size limits in bytes of a payload, a message header and a sealed route.
 constexpr std::size_t MaxDatagramSize = 1400;
 constexpr std::size_t MaxHeaderSize = 256;
 constexpr std::size_t MaxRouteSize = 96;
 constexpr std::uint64_t ProtocolVersion = 1;
 
-/// Borrowed bytes; the owner outlives the call that is given them.
+/// A non-owning view of bytes.
 struct Bytes {
   const std::uint8_t *Data_ = nullptr;
   std::size_t Size_ = 0;
@@ -55,67 +57,69 @@
 };
 bool operator==(const Bytes &A, const Bytes &B);
 
-/// One datagram. Fields that a kind does not use are zero or empty, which costs
-/// one byte each on the wire.
+/// A decoded datagram. Fields that its kind doesn't use are zero or empty and
+/// take one byte each on the wire.
 struct Message {
   MessageKind Kind_ = MessageKind::Open;
-  ServiceId Service_{};       ///< Set from the socket on the caller's leg.
-  FlowId Flow_{};             ///< The caller's random name of the flow.
+  ServiceId Service_{};       ///< From callers: that of the receiving socket.
+  FlowId Flow_{};             ///< Random, drawn by the caller.
   std::uint32_t Request_ = 0; ///< Request or push number; 0 on `Open`.
   std::uint16_t Part_ = 0;    ///< 0-based part of an answer.
   std::uint16_t Parts_ = 0;   ///< Number of parts, at most `MaxParts`.
   std::uint8_t Flags_ = 0;    ///< Bits of `MessageFlag`.
-  WallTime Deadline_{};       ///< Absolute; zero takes the service's own.
-  std::uint64_t Attempt_ = 0; ///< One hand-over to an upstream; echoed.
-  std::uint64_t Epoch_ = 0;   ///< Home epoch of the request's identity.
+  WallTime Deadline_{};       ///< Zero selects the service's default.
+  std::uint64_t Attempt_ = 0; ///< Identifies one dispatch; echoed.
+  std::uint64_t Epoch_ = 0;   ///< Identifies a request for deduplication.
   Incarnation Incarnation_{}; ///< The upstream's incarnation.
   ErrorKind Reason_ = ErrorKind::None; ///< On `Refused` and `Reset`.
-  WallTime RetryAt_{};                 ///< On `Refused`: when to come back.
-  std::uint32_t OpenFlows_ = 0; ///< The upstream's own count of open flows.
-  Bytes Route_;                 ///< Sealed route, opaque to callers.
-  Endpoint Caller_;             ///< Return path, opaque to upstreams.
+  WallTime RetryAt_{};                 ///< On `Refused`: earliest retry.
+  std::uint32_t OpenFlows_ = 0; ///< Flows that the upstream reports as open.
+  Bytes Route_;                 ///< Sealed route; opaque to callers.
+  Endpoint Caller_;             ///< Return address; opaque to upstreams.
   Bytes Payload_;
 
   bool repeatable() const { return (Flags_ & FlagRepeatable) != 0; }
 };
 bool operator==(const Message &A, const Message &B);
 
-/// A message of another kind about the same flow and request, and nothing else.
+/// Returns a message of kind \p K with the service, flow and request number of
+/// \p M and no other field.
 Message makeReply(const Message &M, MessageKind K);
 
-/// Writes \p M into \p Buffer and returns the length, or 0 when it does not
-/// fit. Allocates nothing.
+/// Encodes \p M into \p Buffer. Returns the length, or 0 if it doesn't fit.
+/// Doesn't allocate.
 std::size_t encode(const Message &M, std::uint8_t *Buffer, std::size_t Size);
 
-/// Reads a datagram into \p M, whose byte fields then point into \p Data.
-/// Returns `None`, `Malformed` or `Oversized`. Allocates nothing.
+/// Decodes a datagram into \p M, whose byte fields then point into \p Data.
+/// Returns `None`, `Malformed` or `Oversized`. Doesn't allocate.
 ErrorKind decode(const std::uint8_t *Data, std::size_t Size, Message &M);
 
-/// What one balancer tells another about a caller's datagram.
+/// The type of a datagram between balancers.
 enum class PeerMessageKind : std::uint8_t {
-  Forwarded = 1,   ///< The inner message belongs to a flow whose home you are.
-  ForwardAccepted, ///< The passed request is in the home's hands.
-  NotHome,         ///< I am not the home process that the route names.
-  Delegated, ///< As `Forwarded`, from a stopping home that never ran it nor
-             ///< will.
-  Duplicate, ///< From a stopping home, a copy of what it passed or ran.
+  Forwarded = 1,   ///< A message for a flow whose home is the receiver.
+  ForwardAccepted, ///< The home has the forwarded request.
+  NotHome,         ///< The sender is not the home that the route names.
+  Delegated,       ///< From a stopping home that didn't and won't run it.
+  Duplicate,       ///< From a stopping home that delegated or ran it before.
   Last = Duplicate
 };
 
-/// A datagram between balancers' data sockets, authenticated by a keyed tag.
+/// A datagram between balancers, authenticated by a SipHash tag.
 struct PeerDatagram {
   PeerMessageKind Kind_ = PeerMessageKind::Forwarded;
-  Message Inner_; ///< `Caller_` and `Service_` are set.
+  Message Inner_; ///< With `Caller_` and `Service_` set.
 };
 
-/// A 128-bit secret for SipHash tags.
+/// A 128-bit SipHash key.
 using SecretKey = std::array<std::uint8_t, 16>;
 
-/// Writes tag and datagram; returns the length or 0.
+/// Encodes a tagged datagram into \p Buffer. Returns the length, or 0 if it
+/// doesn't fit.
 std::size_t encodePeer(const PeerDatagram &D, const SecretKey &Secret,
                        std::uint8_t *Buffer, std::size_t Size);
 
-/// Reads a peer datagram; `BadTag` when no key of \p Keys made its tag.
+/// Decodes a peer datagram. Returns `BadTag` if its tag matches no key of
+/// \p Keys.
 ErrorKind decodePeer(const std::uint8_t *Data, std::size_t Size,
                      const std::array<SecretKey, 2> &Keys, PeerDatagram &D);
 
--- a/include/thymewall/request-table.h
+++ b/include/thymewall/request-table.h
@@ -1,7 +1,6 @@
 /// \file
-/// Requests and opens that this balancer has handed to an upstream and that
-/// have no final answer yet, and requests passed to a home that has not
-/// confirmed them.
+/// Tables of requests and opens that await an upstream's final answer, and of
+/// requests forwarded to another balancer that has not accepted them yet.
 #ifndef THYMEWALL_REQUEST_TABLE_H
 #define THYMEWALL_REQUEST_TABLE_H
 
@@ -10,7 +9,7 @@
 
 namespace thymewall {
 
-/// A request of a flow; number 0 is the flow's open.
+/// Identifies a request of a flow; number 0 is the flow's open.
 struct RequestKey {
   ServiceId Service_{};
   std::uint32_t Number_ = 0;
@@ -25,13 +24,13 @@
                   std::uint64_t{raw(K.Service_)} << 32 | K.Number_);
 }
 
-/// A request in progress at an upstream.
+/// A request dispatched to an upstream.
 struct RequestRow {
   using Key = RequestKey;
 
   RequestKey Key_;
   std::uint64_t Attempt_ = 0;
-  std::uint64_t ReceivedParts_ = 0; ///< Bit per part.
+  std::uint64_t ReceivedParts_ = 0; ///< One bit per part.
   WallTime Deadline_{};
   MonoTime SentAt_{};
   Endpoint Caller_;
@@ -39,9 +38,9 @@
   std::uint16_t Parts_ = 0;
   std::uint8_t Tries_ = 0;
   bool AtMostOnce_ = false; ///< Not repeatable; this balancer is the home.
-  bool SoleCopy_ = false;   ///< No other copy was or will be handed on.
-  bool NewRoute_ = false;   ///< The answer brings the caller a new route.
-  bool Completed_ = false;  ///< Kept to swallow copies of an answered request.
+  bool SoleCopy_ = false;   ///< No other copy is ever dispatched.
+  bool NewRoute_ = false;   ///< The answer carries a new route.
+  bool Completed_ = false;  ///< Kept to drop duplicates after the answer.
   RowLinks Links_;
 
   Key key() const { return Key_; }
@@ -49,12 +48,12 @@
 };
 using RequestTable = TimedTable<RequestRow>;
 
-/// A request on its way to its flow's home, kept whole to be sent again.
+/// A request forwarded to another balancer, kept for retransmission.
 struct ForwardRow {
   using Key = RequestKey;
 
   RequestKey Key_;
-  Message Message_; ///< Byte fields are set by `message`.
+  Message Message_; ///< Its byte fields may dangle; see `message`.
   Endpoint Destination_;
   PeerMessageKind Kind_ = PeerMessageKind::Forwarded;
   std::array<std::uint8_t, MaxRouteSize> Route_{};
@@ -67,9 +66,9 @@
   Key key() const { return Key_; }
   static std::uint64_t hash(const Key &K) { return hashRequest(K); }
 
-  /// Copies a message and the bytes that it borrows.
+  /// Copies \p M with its route and payload bytes.
   void store(const Message &M);
-  /// The stored message, borrowing from this row.
+  /// Returns the stored message; its byte fields point into this row.
   Message message() const;
 };
 using ForwardTable = TimedTable<ForwardRow>;
--- a/include/thymewall/timed-table.h
+++ b/include/thymewall/timed-table.h
@@ -1,7 +1,7 @@
 /// \file
-/// A hash table of rows that expire: rows live in one slab, are found through
-/// hash chains and are expired through a timer wheel, so no operation scans the
-/// table. Allocates only while the slab grows to its bound.
+/// A hash table with expiring rows: a slab of rows, chained hash buckets and a
+/// timer wheel. Lookup, insertion and expiry don't scan the table. Memory is
+/// allocated only while the slab grows to its maximum.
 #ifndef THYMEWALL_TIMED_TABLE_H
 #define THYMEWALL_TIMED_TABLE_H
 
@@ -12,7 +12,7 @@
 
 namespace thymewall {
 
-/// Index links that each row carries; owned by `TimedTable`.
+/// Intrusive links of a row, as row indexes; used by `TimedTable` only.
 struct RowLinks {
   std::uint32_t HashNext_ = 0;
   std::uint32_t WheelNext_ = 0;
@@ -20,19 +20,20 @@
   std::uint32_t ExpiryTick_ = 0; ///< Wheel tick at which the row expires.
 };
 
+/// A hash table whose rows expire at a tick.
 /// \tparam Row a type with a `RowLinks Links_` member, a `Key` type and the
 /// functions `Key key() const` and `static std::uint64_t hash(const Key &)`.
 template <typename Row> class TimedTable {
 public:
   using Key = typename Row::Key;
 
-  /// \p MaxRows is the largest number of rows; a power of two of hash chains is
-  /// kept at about one row each.
+  /// Holds at most \p MaxRows rows.
   explicit TimedTable(std::uint32_t MaxRows)
       : MaxRows_(MaxRows), Rows_(1), Wheel_(WheelSize, 0) {
     Buckets_.assign(MinBuckets, 0);
   }
 
+  /// Returns the row with this key, or null.
   Row *find(const Key &SearchKey) {
     std::uint32_t Index = Buckets_[bucketOf(SearchKey)];
     while (Index != 0 && !(Rows_[Index].key() == SearchKey))
@@ -40,8 +41,8 @@
     return Index == 0 ? nullptr : &Rows_[Index];
   }
 
-  /// Adds a row whose key is not in the table; null when the table is full.
-  /// Earlier row pointers become invalid while the slab grows.
+  /// Adds a row whose key is not in the table; returns null if the table is
+  /// full. May invalidate pointers to rows.
   Row *insert(const Row &Value, std::uint32_t ExpiryTick) {
     assert(find(Value.key()) == nullptr);
     std::uint32_t Index = allocateRow();
@@ -56,7 +57,7 @@
     return &Rows_[Index];
   }
 
-  /// Moves a row's expiry to another tick.
+  /// Changes the tick at which a row expires.
   void rearm(Row &Entry, std::uint32_t ExpiryTick) {
     std::uint32_t Index = indexOf(Entry);
     disarm(Index);
@@ -75,8 +76,9 @@
     --Size_;
   }
 
-  /// Calls \p OnExpired(row) for every row due at or before \p Now and erases
-  /// it, unless the call rearmed it. The call must not insert or erase rows.
+  /// Calls \p OnExpired(row) for every row that expires at or before \p Now and
+  /// erases the row unless the callback rearmed it. The callback must not
+  /// insert or erase rows.
   template <typename Function>
   void expire(std::uint32_t Now, Function OnExpired) {
     if (Now <= LastTick_)
@@ -89,7 +91,7 @@
     LastTick_ = Now;
   }
 
-  /// Calls \p Visit(row) for every row; for rare whole-table work only.
+  /// Calls \p Visit(row) for every row; takes time linear in the table.
   template <typename Function> void forEach(Function Visit) {
     for (std::uint32_t Head : Buckets_)
       for (std::uint32_t Index = Head; Index != 0;
@@ -99,7 +101,7 @@
 
   std::size_t size() const { return Size_; }
   std::size_t maxRows() const { return MaxRows_; }
-  /// Bytes held by the slab, the chains and the wheel.
+  /// Bytes allocated for the slab, the buckets and the wheel.
   std::size_t memoryBytes() const {
     return Rows_.capacity() * sizeof(Row) +
            (Buckets_.capacity() + Wheel_.capacity()) * sizeof(std::uint32_t);
@@ -183,7 +185,7 @@
   }
 
   std::uint32_t MaxRows_;
-  std::vector<Row> Rows_; ///< Index 0 is never used.
+  std::vector<Row> Rows_; ///< Index 0 is unused; it means "none".
   std::vector<std::uint32_t> Buckets_;
   std::vector<std::uint32_t> Wheel_;
   std::uint32_t FreeHead_ = 0;
--- a/src/app-payload.h
+++ b/src/app-payload.h
@@ -1,6 +1,6 @@
 /// \file
-/// What the load tool and the upstream stand-in write into payloads, so that
-/// both can judge by themselves what reached whom. Balancers never look at it.
+/// The request payload of the load tool and the test upstreams, by which they
+/// check that requests reach the right service. Opaque to balancers.
 #ifndef THYMEWALL_SRC_APP_PAYLOAD_H
 #define THYMEWALL_SRC_APP_PAYLOAD_H
 
@@ -10,21 +10,24 @@
 
 namespace thymewall::detail {
 
+/// Contents of a request payload.
 struct AppPayload {
   std::uint64_t Id_ = 0;      ///< Unique to the request.
-  std::uint32_t Service_ = 0; ///< The service that the caller means.
-  std::uint16_t Parts_ = 1;   ///< Parts of the answer that it wants.
+  std::uint32_t Service_ = 0; ///< The service that the caller addresses.
+  std::uint16_t Parts_ = 1;   ///< Number of parts of the answer.
 };
 
+/// Encoded size in bytes.
 constexpr std::size_t AppPayloadSize = 14;
 
+/// Writes `AppPayloadSize` bytes to \p Into.
 inline void writeAppPayload(const AppPayload &P, std::uint8_t *Into) {
   std::memcpy(Into, &P.Id_, 8);
   std::memcpy(Into + 8, &P.Service_, 4);
   std::memcpy(Into + 12, &P.Parts_, 2);
 }
 
-/// All zero when the bytes are too few.
+/// Decodes a payload; one that is too short gives the default values.
 inline AppPayload readAppPayload(Bytes From) {
   AppPayload P;
   if (From.Size_ < AppPayloadSize)
--- a/src/balancer-caller.cc
+++ b/src/balancer-caller.cc
@@ -63,8 +63,8 @@
   return false;
 }
 
-/// Index of the upstream that a route names. The address must not have gone to
-/// another upstream since.
+/// Returns the index of the upstream that a route names, adding it if it is no
+/// longer declared, or `None` if its address now belongs to another upstream.
 std::uint32_t Balancer::Impl::resolveUpstream(const Route &R) {
   std::uint32_t Index = Upstreams_.byId(R.Upstream_);
   std::uint32_t AtAddress = Upstreams_.byEndpoint(R.UpstreamAt_);
@@ -79,7 +79,7 @@
   ServiceState *S = serviceState(M.Service_);
   M.Request_ = 0;
   if (Requests_.find(keyOf(M)))
-    return; // a repeat of an open in progress
+    return; // a retransmission of an open in progress
   if (!S || !ready())
     return refuse(M, ErrorKind::NotReady, Answer::NotRun);
   FlowKey Key{M.Service_, M.Flow_};
@@ -111,14 +111,14 @@
   return Candidates.Indexes_[Options_.Chooser_(C)];
 }
 
-/// Chooses an upstream and sends it the open. A flow that this balancer has
-/// placed before (its `opened` was lost) goes to the same upstream.
+/// Sends an open to an upstream. A retransmitted open, whose `Opened` was lost,
+/// goes to the flow's existing upstream.
 void Balancer::Impl::placeFlow(const Message &M, ServiceState &S) {
   FlowKey Key{M.Service_, M.Flow_};
   FlowRow *Existing = Flows_.find(Key);
   std::uint32_t Index = Existing ? Existing->Upstream_ : UpstreamTable::None;
   if (Existing && Index == UpstreamTable::None)
-    return drop(ErrorKind::NumberUsed); // a late copy of a closed flow's open
+    return drop(ErrorKind::NumberUsed); // late duplicate for a closed flow
   if (Index == UpstreamTable::None) {
     const Eligible &Candidates = eligibleUpstreams(S);
     if (Candidates.empty())
@@ -136,7 +136,7 @@
   WallTime TryUntil = std::min(M.Deadline_, Now_.Wall_ + OpenAttemptTimeout);
   if (!Requests_.insert(Row, requestDue(TryUntil)))
     return refuse(M, ErrorKind::Overloaded, Answer::NotRun);
-  // Counted from now on, so that a burst of opens does not herd.
+  // Counted before the reply, so that a burst of opens is spread.
   if (!Existing)
     ++Upstreams_[Index].OwnFlows_;
   ++Upstreams_[Index].InFlight_;
@@ -154,8 +154,8 @@
   sendToUpstream(Upstreams_[Row.Upstream_].At_, M);
 }
 
-/// Takes an open to another upstream, within the retry budget and its deadline,
-/// or gives it up. An open that is given up has run nothing.
+/// Retries an open at another upstream, or refuses it as not run if the retry
+/// budget, the number of tries or the deadline is exceeded.
 void Balancer::Impl::retryOpen(RequestRow &Row, ErrorKind Reason) {
   ServiceState *S = serviceState(Row.Key_.Service_);
   UpstreamRow &Last = Upstreams_[Row.Upstream_];
@@ -215,8 +215,8 @@
   return U.InFlight_ >= std::uint64_t{S.Service_.InFlightPerSlot_} * U.Slots_;
 }
 
-/// Other balancers may hold copies of a repeatable request, so the answer of
-/// one that gives it up is never `not run`.
+/// Dispatches a repeatable request. Other balancers may dispatch copies of it,
+/// so it is never refused as not run.
 void Balancer::Impl::dispatchRepeatable(const Message &M, const Route &R) {
   if (M.Deadline_ != WallTime{} && M.Deadline_ <= Now_.Wall_)
     return refuse(M, ErrorKind::DeadlinePassed, Answer::OutcomeUnknown);
@@ -224,7 +224,7 @@
   if (Index == UpstreamTable::None)
     return refuse(M, ErrorKind::FlowUnknown, Answer::OutcomeUnknown);
   if (RequestRow *Previous = Requests_.find(keyOf(M)))
-    removeRequest(*Previous); // a retry: the new attempt replaces the old one
+    removeRequest(*Previous); // the retry replaces the earlier attempt
   if (overloaded(*serviceState(M.Service_), Upstreams_[Index]))
     return refuse(M, ErrorKind::Overloaded, Answer::OutcomeUnknown);
   DispatchOptions Options;
@@ -233,8 +233,8 @@
     refuse(M, ErrorKind::Overloaded, Answer::OutcomeUnknown);
 }
 
-/// Sends a request to its upstream and remembers it until its last part or its
-/// deadline. False, with nothing sent, when the table is full.
+/// Sends a request to its upstream and tracks it until its last part or its
+/// deadline. Returns false and sends nothing if the request table is full.
 bool Balancer::Impl::dispatchRequest(const Message &M, const Route &R,
                                      std::uint32_t Upstream,
                                      DispatchOptions Options) {
@@ -277,8 +277,8 @@
   sendToUpstream(R.UpstreamAt_, Out);
 }
 
-/// The upstream and the home both learn of a close. A lost copy is made good by
-/// the flow's idle deadline.
+/// Sends a close to the upstream and to the home. If the close is lost, the
+/// flow's idle timeout applies.
 void Balancer::Impl::closeFlow(const Message &M, const Route &R) {
   relayToUpstream(M, R);
   if (!isHome(R))
@@ -292,8 +292,8 @@
   ++Counters_.Errors_[static_cast<std::size_t>(Reason)];
 }
 
-/// Tells the caller that its request is given up, at once. \p StrongestAnswer
-/// is the strongest answer that is true here; the table of kinds may lower it.
+/// Refuses a request. \p StrongestAnswer is `NotRun` only if no copy was or
+/// will be dispatched; the table of error kinds may lower it.
 void Balancer::Impl::refuse(const Message &M, ErrorKind Reason,
                             Answer StrongestAnswer, Bytes NewRoute) {
   ++Counters_.Errors_[static_cast<std::size_t>(Reason)];
@@ -320,7 +320,7 @@
   M.Request_ = Row.Key_.Number_;
   M.Caller_ = Row.Caller_;
   M.RetryAt_ = RetryAt;
-  // An open has no effect, so one that is given up has run nothing.
+  // Opens have no effect, so their outcome is never unknown.
   if (M.Request_ == 0 && Reason == ErrorKind::NoAnswer)
     Reason = ErrorKind::NoUpstream;
   refuse(M, Reason, StrongestAnswer);
--- a/src/balancer-home.cc
+++ b/src/balancer-home.cc
@@ -11,20 +11,20 @@
 
 using namespace std::chrono_literals;
 
-/// Ticks of one second.
+/// In flow ticks of one second.
 constexpr std::uint32_t FlowIdleTimeoutTicks = 3600;
-/// A closed flow's numbers are kept until no copy of a request can come any
-/// more: the longest deadline (60 s), clock slack and some.
+/// A closed flow's row is kept until the deadlines of all its requests have
+/// passed: the maximum deadline of 60 s, the clock skew and a margin.
 constexpr std::uint32_t ClosedFlowRetentionTicks = 70;
-/// A pass is repeated after 20, 40 and 80 ms and given up 80 ms later: beyond
-/// any round trip in a region, well within a request's deadline.
+/// Timeouts of the transmissions of a forward, in request ticks of 5 ms: longer
+/// than a round trip within a region, shorter than a request's deadline.
 constexpr std::uint32_t ForwardTimeoutTicks[] = {4, 8, 16, 16};
 constexpr std::uint8_t MaxForwardTries = 4;
 constexpr Micros SuspicionTimeout = 10s;
 
 } // namespace
 
-/// Makes this process the home of a flow under a new epoch; null when the
+/// Makes this process the home of a flow under a new epoch. Returns null if the
 /// table is full.
 FlowRow *Balancer::Impl::createFlow(const FlowKey &Key,
                                     std::uint32_t Upstream) {
@@ -40,9 +40,9 @@
   return Inserted;
 }
 
-/// The row of a flow that a route shows to be at \p Upstream. A row that we
-/// made for a repeat of the flow's open, at another upstream, lost that race:
-/// the caller keeps to the first `opened`, so nothing was sent under it.
+/// Returns the row of a flow whose route names \p Upstream, or null if the
+/// table is full. A row with another upstream belongs to a duplicate of the
+/// open; the caller uses only the first `Opened`, so that row is reassigned.
 FlowRow *Balancer::Impl::findOrCreateFlow(const FlowKey &Key,
                                           std::uint32_t Upstream) {
   FlowRow *Row = Flows_.find(Key);
@@ -63,13 +63,14 @@
     Flows_.rearm(Row, flowTick(Now_.Mono_) + FlowIdleTimeoutTicks);
 }
 
-/// Takes a flow off its upstream's count. Its numbers stay for a while.
+/// Marks a flow as closed; its row is kept for `ClosedFlowRetentionTicks`.
 void Balancer::Impl::markFlowClosed(FlowRow &Row) {
   releaseFlow(Row);
   Row.Upstream_ = UpstreamTable::None;
   Flows_.rearm(Row, flowTick(Now_.Mono_) + ClosedFlowRetentionTicks);
 }
 
+/// Removes a flow from its upstream's flow count.
 void Balancer::Impl::releaseFlow(FlowRow &Row) {
   if (Row.Upstream_ == UpstreamTable::None)
     return;
@@ -93,8 +94,7 @@
   return seal(R, Options_.Keys_[0]);
 }
 
-/// A request that may not be repeated, at the process that its route calls
-/// home. Only here is such a request handed to an upstream.
+/// Handles an at-most-once request at the home that its route names.
 void Balancer::Impl::submit(const Message &M, const Route &R) {
   FlowRow *Row = Flows_.find({M.Service_, M.Flow_});
   bool Lost = !Row || Row->Epoch_ != R.Epoch_;
@@ -105,8 +105,8 @@
   submitToFlow(*Row, M, R, RequestOrigin::Own);
 }
 
-/// True once this process has named its successors: from then on they alone
-/// hand requests on, and only they can say what was not run.
+/// Returns true once this process has announced its successors. From then on
+/// only they dispatch requests and refuse them as not run.
 bool Balancer::Impl::hasNamedSuccessors() const {
   return !OwnSuccession_.Successors_.empty() && has(Mechanism::StopHandingOn);
 }
@@ -114,7 +114,7 @@
 void Balancer::Impl::submitToFlow(FlowRow &Row, const Message &M,
                                   const Route &R, RequestOrigin Origin) {
   if (Requests_.find({M.Service_, M.Request_, M.Flow_}))
-    return; // a copy; the first one is or will be answered
+    return; // a duplicate of a request in progress
   WallTime LatestDeadline = Now_.Wall_ + MaxServiceDeadline_ + MaxClockSkew;
   if (M.Deadline_ > LatestDeadline)
     return refuse(M, ErrorKind::DeadlineTooFar, Answer::OutcomeUnknown);
@@ -128,7 +128,7 @@
     return refuse(M, ErrorKind::NumberUsed, Answer::OutcomeUnknown);
   Row.markNumberUsed(M.Request_);
   refreshIdleTimeout(Row);
-  // Where the upstream remembers, other balancers may send it a copy too.
+  // Other balancers may dispatch a copy if the upstream deduplicates.
   bool SoleCopy = !Used && !Replays;
   if (!Used && Origin == RequestOrigin::Own && hasNamedSuccessors())
     return delegate(M, R, PeerMessageKind::Delegated);
@@ -148,8 +148,8 @@
     refuse(M, ErrorKind::Overloaded, StrongestAnswer);
 }
 
-/// Sends a request on to its home and keeps it until the home has confirmed it.
-/// Origin here on this balancer can't know whether it was run.
+/// Forwards a request to another balancer and retransmits it until accepted.
+/// After that this balancer can't know whether the request was run.
 void Balancer::Impl::forwardToPeer(const Message &M, const Route &R,
                                    const Endpoint &Destination,
                                    PeerMessageKind Kind) {
@@ -205,9 +205,9 @@
     SuspectHomes_.push_back({Home, Now_.Mono_ + SuspicionTimeout});
 }
 
-/// Takes over a flow whose home does not answer, before any request of it is
-/// lost: requests that were sent under the old route keep it, and new ones come
-/// under ours. Null when the home is not suspected or we can't take the flow.
+/// Makes this process the home of a flow whose home is suspect. Requests
+/// already sent keep the old route; new ones use the new home's. Returns null
+/// if the home is not suspect or the flow can't be taken over.
 FlowRow *Balancer::Impl::takeOverFlow(const Route &R) {
   if (Stopping_ || isHome(R) || !isSuspect(R.Home_))
     return nullptr;
@@ -230,9 +230,9 @@
   (*Sink_)(ToCaller{M.Caller_, Out});
 }
 
-/// The old home is gone, or its memory of the flow is: nobody can say whether
-/// the request was run. The flow goes on with this process as its home. An
-/// upstream that remembers requests is asked again; it runs none twice.
+/// Makes this process the home of a flow whose home or row is lost, and refuses
+/// the request with an unknown outcome. If the upstream deduplicates requests,
+/// sends it the request again instead.
 void Balancer::Impl::rehome(const Message &M, const Route &R,
                             ErrorKind Reason) {
   FlowKey Key{M.Service_, M.Flow_};
@@ -275,8 +275,8 @@
   sendToPeer(To, Kind, makeReply(M, M.Kind_));
 }
 
-/// A stopping home had this number before: either it ran the request, or it
-/// delegated it to us and we may be running it now.
+/// Handles a duplicate from a stopping home, which ran the request itself or
+/// delegated it to this balancer, where it may be in progress.
 void Balancer::Impl::onDuplicate(const Message &M, const Endpoint &From) {
   acknowledge(M, From, PeerMessageKind::ForwardAccepted);
   if (!Requests_.find({M.Service_, M.Request_, M.Flow_}))
--- a/src/balancer-impl.h
+++ b/src/balancer-impl.h
@@ -1,9 +1,9 @@
 /// \file
-/// The inside of the decision core. Its parts:
-///   balancer.cc             events, intent, ticks
-///   balancer-caller.cc      datagrams of callers
-///   balancer-upstream.cc    datagrams of upstreams
-///   balancer-home.cc        home epochs: submit, pass, rehome
+/// The implementation of the request balancer's decision core:
+///   balancer.cc             declarations, peers, timers
+///   balancer-caller.cc      datagrams from callers
+///   balancer-upstream.cc    datagrams from upstreams
+///   balancer-home.cc        at-most-once requests, forwarding, moving flows
 ///   balancer-succession.cc  planned stop
 #ifndef THYMEWALL_SRC_BALANCER_IMPL_H
 #define THYMEWALL_SRC_BALANCER_IMPL_H
@@ -16,10 +16,10 @@
 
 namespace thymewall {
 
-/// Callers' clocks may be ahead of ours by this much.
+/// How far a caller's clock may be ahead of the balancer's.
 constexpr Micros MaxClockSkew = std::chrono::seconds(1);
 
-/// A live peer, as its heartbeats tell.
+/// A balancer whose heartbeats arrive.
 struct Peer {
   BalancerId Id_{};
   Endpoint Data_;
@@ -28,33 +28,33 @@
   MonoTime ExpiresAt_{};
 };
 
-/// A home that did not answer of late.
+/// A home that stopped answering; not forwarded to until `Until_`.
 struct SuspectHome {
   Incarnation Home_{};
   MonoTime Until_{};
 };
 
-/// One service under the declaration in force.
+/// The state of a service of the declaration in force.
 struct ServiceState {
   Service Service_;
-  std::vector<std::uint32_t> Selected_; ///< Indexes of its upstreams now.
+  std::vector<std::uint32_t> Selected_; ///< Indexes into the upstream table.
   double RetryTokens_ = 0;
-  Eligible Eligible_;            ///< Of `Selected_`, as of `Generation_`.
-  std::uint64_t Generation_ = 0; ///< 0: to be worked out.
+  Eligible Eligible_;            ///< Subset of `Selected_`, cached.
+  std::uint64_t Generation_ = 0; ///< That of `Eligible_`; 0 if it is stale.
 };
 
-/// How a request that may not be repeated came to this process as its home.
+/// Why this process is the home of an at-most-once request.
 enum class RequestOrigin : std::uint8_t {
   Own,     ///< Its route names this process.
-  Adopted, ///< Its route names a home that has stopped for good.
-  Replayed ///< Its home is lost, but the upstream remembers requests.
+  Adopted, ///< Its route names a stopped home whose successor this is.
+  Replayed ///< Its home is lost, and the upstream deduplicates requests.
 };
 
-/// What is known of a request that is handed to an upstream.
+/// How a request is dispatched to an upstream.
 struct DispatchOptions {
-  bool AtMostOnce_ = false; ///< It may not be repeated; we are its home.
-  bool SoleCopy_ = false;   ///< No other copy was or will be handed on.
-  bool NewRoute_ = false;   ///< The answer brings the caller a new route.
+  bool AtMostOnce_ = false; ///< Not repeatable; this balancer is the home.
+  bool SoleCopy_ = false;   ///< No other copy is ever dispatched.
+  bool NewRoute_ = false;   ///< The answer carries a new route.
 };
 
 class Balancer::Impl {
@@ -78,7 +78,7 @@
   void on(const Tick &E);
   void on(const StopRequested &E);
 
-  // Intent and time (balancer.cc).
+  // Declarations, peers and timers (balancer.cc).
   void detectLateWake();
   void selectUpstreams();
   void applyHostList();
@@ -112,7 +112,7 @@
   bool readRoute(const Message &M, Route &R);
   std::uint32_t resolveUpstream(const Route &R);
 
-  // Answers to callers.
+  // Replies and sending (balancer-caller.cc).
   void drop(ErrorKind Reason);
   void refuse(const Message &M, ErrorKind Reason, Answer StrongestAnswer,
               Bytes NewRoute = {});
@@ -175,7 +175,7 @@
   std::vector<ServiceState> Services_;
   std::vector<Peer> Peers_;
   std::vector<Succession> Successions_;
-  Succession OwnSuccession_; ///< Our own statement, once made.
+  Succession OwnSuccession_; ///< Set once this process announces its stop.
   std::vector<SuspectHome> SuspectHomes_;
   DeclarationPtr Declaration_;
   HostListPtr HostList_;
@@ -189,7 +189,7 @@
   MonoTime EarliestStop_{};
   WallTime NextSelectAt_{};
   std::uint64_t LastAttempt_ = 0;
-  std::uint64_t RereadId_ = 0; ///< Counts `RereadSources`.
+  std::uint64_t RereadId_ = 0; ///< Of the latest `RereadSources`.
   std::uint32_t LastEpoch_ = 0;
   bool DeclarationFresh_ = false;
   bool Stopping_ = false;
--- a/src/balancer-succession.cc
+++ b/src/balancer-succession.cc
@@ -11,13 +11,13 @@
   if (Stopping_)
     return;
   Stopping_ = true;
-  // A request that was sent before may be copied to us until its deadline.
+  // Duplicates of earlier requests may arrive until their deadline.
   EarliestStop_ = Now_.Mono_ + MaxServiceDeadline_ + 2 * MaxClockSkew;
   announceSuccession();
 }
 
-/// Names the successors. Nothing that this process handed on has a deadline
-/// after the fence, because `submitToFlow` refuses deadlines further ahead.
+/// Announces the live peers as successors. No dispatched request has a deadline
+/// after the fence, because `submitToFlow` refuses later deadlines.
 void Balancer::Impl::announceSuccession() {
   Succession S;
   S.Home_ = Options_.Incarnation_;
@@ -41,16 +41,17 @@
   return nullptr;
 }
 
-/// True when the request's deadline shows that the old home never had it, and
-/// it has not expired, so that our own memory of it can't have been dropped.
+/// Returns true if the old home can't have dispatched the request, because its
+/// deadline is after the fence, and the deadline has not passed, so that this
+/// balancer still has any record of it.
 bool Balancer::Impl::mayAdopt(const Message &M, const Route &R) const {
   const Succession *S = findSuccession(R);
   return S && (M.Deadline_ > S->Fence_ || !has(Mechanism::Fence)) &&
          M.Deadline_ > Now_.Wall_;
 }
 
-/// Runs a request of a flow whose home has stopped, under our own epoch. The
-/// answer brings the caller its new route.
+/// Handles a request of a flow whose home has stopped, with this process as the
+/// new home. The answer carries the new route.
 void Balancer::Impl::adopt(const Message &M, const Route &R) {
   std::uint32_t Index = resolveUpstream(R);
   if (Index == UpstreamTable::None)
@@ -62,16 +63,17 @@
   submitToFlow(*Row, M, R, RequestOrigin::Adopted);
 }
 
-/// A stopping home passes a request to its successor: as `Delegated` one that
-/// it has never run nor will (its number is used from now on), as `Duplicate` a
-/// copy of one that it or the successor had before.
+/// Forwards a request from a stopping home to its successor: as `Delegated` if
+/// this process didn't and won't run it, as `Duplicate` if this process or the
+/// successor received it before.
 void Balancer::Impl::delegate(const Message &M, const Route &R,
                               PeerMessageKind Kind) {
   const Successor &Next = successorOf(OwnSuccession_, {M.Service_, M.Flow_});
   forwardToPeer(M, R, Next.Data_, Kind);
 }
 
-/// A peer to place the flows that still arrive here while we stop.
+/// Returns the peer that handles opens which arrive while this balancer stops,
+/// or null if there is none.
 const Peer *Balancer::Impl::successorForOpen(const FlowKey &Flow) const {
   const Peer *Best = nullptr;
   std::uint64_t BestScore = 0;
--- a/src/balancer-upstream.cc
+++ b/src/balancer-upstream.cc
@@ -7,8 +7,8 @@
 
 namespace {
 
-/// Longer than copies of one datagram are apart, shorter than a caller waits
-/// before it asks again.
+/// How long duplicates of an answered request are dropped: longer than the
+/// network spreads duplicates, shorter than a caller's retry interval.
 constexpr Micros DuplicateWindow = std::chrono::milliseconds(150);
 
 } // namespace
@@ -37,8 +37,9 @@
   }
 }
 
-/// The request in progress that a datagram of an upstream belongs to; null,
-/// and counted, when it was given up or belongs to an earlier attempt.
+/// Returns the request in progress to which an upstream's datagram belongs.
+/// Counts a late answer and returns null if the datagram is of an earlier
+/// attempt or the request has ended.
 RequestRow *Balancer::Impl::findAttempt(const Message &M,
                                         std::uint32_t Upstream) {
   RequestRow *Row = Requests_.find({M.Service_, M.Request_, M.Flow_});
@@ -52,13 +53,13 @@
 }
 
 void Balancer::Impl::removeRequest(RequestRow &Row) {
-  if (!Row.Completed_) // else it left the count when it was settled
+  if (!Row.Completed_) // else `completeRequest` has decremented it
     --Upstreams_[Row.Upstream_].InFlight_;
   Requests_.erase(Row);
 }
 
-/// Ends a request whose last part went to the caller. A copy of it that comes
-/// soon is the network's or crossed the answer, and is not told anything else.
+/// Ends a request after the last part of its answer. An at-most-once request's
+/// row is kept for `DuplicateWindow` to drop duplicates without a reply.
 void Balancer::Impl::completeRequest(RequestRow &Row) {
   if (!Row.AtMostOnce_)
     return removeRequest(Row);
@@ -95,8 +96,8 @@
   (*Sink_)(ToCaller{Caller, Out});
 }
 
-/// Sends a part on to the caller. All parts that a caller gets under one
-/// attempt number come from one run of the request.
+/// Relays a part of an answer to the caller. All parts with the same attempt
+/// number come from one execution of the request.
 void Balancer::Impl::onAnswer(const Message &M, std::uint32_t Upstream) {
   RequestRow *Row = findAttempt(M, Upstream);
   if (!Row)
@@ -132,8 +133,8 @@
   completeRequest(*Row);
 }
 
-/// An upstream refuses before it starts. Where the home of a request has handed
-/// it on just this once, `not run` is true.
+/// Handles a refusal, which upstreams send before they start a request. The
+/// request is reported as not run only if this was its sole copy.
 void Balancer::Impl::onRefused(const Message &M, std::uint32_t Upstream) {
   RequestRow *Row = findAttempt(M, Upstream);
   if (!Row)
@@ -152,7 +153,8 @@
   removeRequest(*Row);
 }
 
-/// The upstream does not hold the flow, so it has not started the request.
+/// Handles a reset, which an upstream sends if it doesn't know the flow and so
+/// has not started the request.
 void Balancer::Impl::onReset(const Message &M, std::uint32_t Upstream) {
   FlowRow *Flow = Flows_.find({M.Service_, M.Flow_});
   if (Flow && Flow->Upstream_ == Upstream)
@@ -172,7 +174,7 @@
   (*Sink_)(ToCaller{M.Caller_, Out});
 }
 
-/// Pushes and pongs carry their caller, so any balancer sends them on.
+/// Relays a push or pong to the caller that it names.
 void Balancer::Impl::relayToCaller(const Message &M) {
   if (M.Caller_.empty() || !serviceState(M.Service_))
     return drop(ErrorKind::Malformed);
--- a/src/balancer.cc
+++ b/src/balancer.cc
@@ -14,7 +14,8 @@
 
 constexpr Micros RequestTickLength = 5ms;
 constexpr Micros FlowTickLength = 1s;
-/// A woken process that no source answers goes on with its old intent then.
+/// After a suspension, how long to wait for a source before continuing with the
+/// old declaration.
 constexpr Micros RereadTimeout = 3s;
 constexpr Micros PeerTimeout = 5s;
 constexpr std::size_t MaxSuccessions = 4096;
@@ -39,8 +40,8 @@
   Sink_ = nullptr;
 }
 
-/// Every event checks the clock, because the first one after a pause may be a
-/// datagram that has waited in a socket since before it.
+/// Detects a suspension of the process. Called for every event, because the
+/// first one after a suspension may be a datagram queued in a socket.
 void Balancer::Impl::detectLateWake() {
   if (Now_.Mono_ < NextTickDue_ + MaxTickDelay || !has(Mechanism::LateWake))
     return;
@@ -80,7 +81,7 @@
   return requestTick(Now_.Mono_ + Left) + 1;
 }
 
-/// A number from 0 to 1.
+/// Returns a random number from 0 to 1.
 double Balancer::Impl::randomFraction() {
   return std::generate_canonical<double, 32>(Random_);
 }
@@ -158,7 +159,7 @@
   Successions_.push_back(E.Succession_);
 }
 
-/// Works out which upstreams each service has at this minute.
+/// Evaluates the selectors of each service for the current minute.
 void Balancer::Impl::selectUpstreams() {
   constexpr Micros Minute = 60s;
   NextSelectAt_ =
@@ -189,8 +190,8 @@
     checkStopped();
 }
 
-/// A peer whose heartbeats end is suspected from then on; suspicion ends by
-/// time or with a heartbeat.
+/// Removes peers without recent heartbeats and marks them as suspect homes
+/// until `SuspicionTimeout` or their next heartbeat.
 void Balancer::Impl::expirePeers() {
   auto Expired = [this](const SuspectHome &S) { return S.Until_ < Now_.Mono_; };
   SuspectHomes_.erase(
@@ -204,8 +205,7 @@
                Peers_.end());
 }
 
-/// A request without its final answer at its deadline is given up; an open is
-/// tried at another upstream first.
+/// Cancels requests at their deadline and retries opens at another upstream.
 void Balancer::Impl::expireRequests() {
   Requests_.expire(requestTick(Now_.Mono_), [this](RequestRow &Row) {
     if (Row.Completed_)
--- a/src/message.cc
+++ b/src/message.cc
@@ -37,7 +37,7 @@
 constexpr std::size_t TagSize = crypto_shorthash_siphashx24_BYTES;
 static_assert(crypto_shorthash_siphashx24_KEYBYTES == sizeof(SecretKey));
 
-/// Appends CBOR items to a caller's buffer and remembers whether all fitted.
+/// Writes CBOR items to a buffer; `ok` is false once an item doesn't fit.
 class Writer {
 public:
   Writer(std::uint8_t *Buffer, std::size_t Size) : At_(Buffer), Left_(Size) {}
@@ -84,7 +84,7 @@
   bool Ok_ = true;
 };
 
-/// One decoded item; the library's streaming decoder fills it.
+/// A decoded item, filled in by the callbacks of libcbor.
 struct Item {
   enum class Type { Other, Number, Bytes, Array } Type_ = Type::Other;
   std::uint64_t Number_ = 0;
@@ -118,7 +118,7 @@
 
 const cbor_callbacks ItemCallbacks = makeCallbacks();
 
-/// Reads CBOR items one by one; after the first wrong item `ok` stays false.
+/// Reads CBOR items; `ok` is false from the first unexpected item on.
 class Reader {
 public:
   Reader(const std::uint8_t *Data, std::size_t Size) : At_(Data), Left_(Size) {}
