--- a/src/message.cc
+++ b/src/message.cc
@@ -40,22 +40,23 @@
 /// Writes CBOR items to a buffer; `ok` is false once an item doesn't fit.
 class Writer {
 public:
-  Writer(std::uint8_t *Buffer, std::size_t Size) : At_(Buffer), Left_(Size) {}
+  Writer(std::uint8_t *Buffer, std::size_t Size)
+      : Cursor_(Buffer), Remaining_(Size) {}
 
   void array(std::size_t Count) {
-    take(cbor_encode_array_start(Count, At_, Left_));
+    commit(cbor_encode_array_start(Count, Cursor_, Remaining_));
   }
   void number(std::uint64_t Value) {
-    take(cbor_encode_uint(Value, At_, Left_));
+    commit(cbor_encode_uint(Value, Cursor_, Remaining_));
   }
   void bytes(Bytes Value) {
-    take(cbor_encode_bytestring_start(Value.Size_, At_, Left_));
-    if (!Ok_ || Left_ < Value.Size_) {
+    commit(cbor_encode_bytestring_start(Value.Size_, Cursor_, Remaining_));
+    if (!Ok_ || Remaining_ < Value.Size_) {
       Ok_ = false;
       return;
     }
     if (Value.Size_ != 0)
-      std::memcpy(At_, Value.Data_, Value.Size_);
+      std::memcpy(Cursor_, Value.Data_, Value.Size_);
     advance(Value.Size_);
   }
   void endpoint(const Endpoint &Where) {
@@ -68,19 +69,19 @@
     bytes({Raw, sizeof Raw});
   }
   bool ok() const { return Ok_; }
-  const std::uint8_t *at() const { return At_; }
+  const std::uint8_t *cursor() const { return Cursor_; }
 
 private:
-  void take(std::size_t Written) {
+  void commit(std::size_t Written) {
     Ok_ = Ok_ && Written != 0;
     advance(Written);
   }
   void advance(std::size_t Count) {
-    At_ += Count;
-    Left_ -= Count;
+    Cursor_ += Count;
+    Remaining_ -= Count;
   }
-  std::uint8_t *At_;
-  std::size_t Left_;
+  std::uint8_t *Cursor_;
+  std::size_t Remaining_;
   bool Ok_ = true;
 };
 
@@ -92,9 +93,9 @@
 };
 
 template <typename T> void onNumber(void *Context, T Value) {
-  auto *Into = static_cast<Item *>(Context);
-  Into->Type_ = Item::Type::Number;
-  Into->Number_ = Value;
+  auto *Target = static_cast<Item *>(Context);
+  Target->Type_ = Item::Type::Number;
+  Target->Number_ = Value;
 }
 
 cbor_callbacks makeCallbacks() {
@@ -104,14 +105,14 @@
   Callbacks.uint32 = onNumber<std::uint32_t>;
   Callbacks.uint64 = onNumber<std::uint64_t>;
   Callbacks.byte_string = [](void *Context, cbor_data Data, auto Size) {
-    auto *Into = static_cast<Item *>(Context);
-    Into->Type_ = Item::Type::Bytes;
-    Into->Bytes_ = {Data, static_cast<std::size_t>(Size)};
+    auto *Target = static_cast<Item *>(Context);
+    Target->Type_ = Item::Type::Bytes;
+    Target->Bytes_ = {Data, static_cast<std::size_t>(Size)};
   };
   Callbacks.array_start = [](void *Context, auto Count) {
-    auto *Into = static_cast<Item *>(Context);
-    Into->Type_ = Item::Type::Array;
-    Into->Number_ = Count;
+    auto *Target = static_cast<Item *>(Context);
+    Target->Type_ = Item::Type::Array;
+    Target->Number_ = Count;
   };
   return Callbacks;
 }
@@ -121,7 +122,8 @@
 /// Reads CBOR items; `ok` is false from the first unexpected item on.
 class Reader {
 public:
-  Reader(const std::uint8_t *Data, std::size_t Size) : At_(Data), Left_(Size) {}
+  Reader(const std::uint8_t *Data, std::size_t Size)
+      : Cursor_(Data), Remaining_(Size) {}
 
   bool array(std::size_t Count) {
     Item I = next(Item::Type::Array);
@@ -158,7 +160,7 @@
     return Result;
   }
   bool ok() const { return Ok_; }
-  bool done() const { return Ok_ && Left_ == 0; }
+  bool done() const { return Ok_ && Remaining_ == 0; }
 
 private:
   Item next(enum Item::Type Wanted) {
@@ -166,20 +168,20 @@
     if (!Ok_)
       return I;
     cbor_decoder_result Result =
-        cbor_stream_decode(At_, Left_, &ItemCallbacks, &I);
+        cbor_stream_decode(Cursor_, Remaining_, &ItemCallbacks, &I);
     Ok_ = Result.status == CBOR_DECODER_FINISHED && I.Type_ == Wanted;
     if (!Ok_)
       return I;
-    At_ += Result.read;
-    Left_ -= Result.read;
+    Cursor_ += Result.read;
+    Remaining_ -= Result.read;
     return I;
   }
-  const std::uint8_t *At_;
-  std::size_t Left_;
+  const std::uint8_t *Cursor_;
+  std::size_t Remaining_;
   bool Ok_ = true;
 };
 
-std::uint64_t micros(WallTime When) {
+std::uint64_t toMicros(WallTime When) {
   return static_cast<std::uint64_t>(When.time_since_epoch().count());
 }
 
@@ -193,12 +195,12 @@
   W.number(M.Part_);
   W.number(M.Parts_);
   W.number(M.Flags_);
-  W.number(micros(M.Deadline_));
+  W.number(toMicros(M.Deadline_));
   W.number(M.Attempt_);
   W.number(M.Epoch_);
   W.number(raw(M.Incarnation_));
   W.number(raw(M.Reason_));
-  W.number(micros(M.RetryAt_));
+  W.number(toMicros(M.RetryAt_));
   W.number(M.OpenFlows_);
   W.bytes(M.Route_);
   W.endpoint(M.Caller_);
@@ -242,7 +244,7 @@
 std::size_t encode(const Message &M, std::uint8_t *Buffer, std::size_t Size) {
   Writer W(Buffer, Size);
   writeMessage(W, M);
-  return W.ok() ? static_cast<std::size_t>(W.at() - Buffer) : 0;
+  return W.ok() ? static_cast<std::size_t>(W.cursor() - Buffer) : 0;
 }
 
 ErrorKind decode(const std::uint8_t *Data, std::size_t Size, Message &M) {
@@ -262,7 +264,7 @@
   writeMessage(W, D.Inner_);
   if (!W.ok())
     return 0;
-  auto Length = static_cast<std::size_t>(W.at() - Buffer);
+  auto Length = static_cast<std::size_t>(W.cursor() - Buffer);
   makeTag(Buffer + TagSize, Length - TagSize, Secret, Buffer);
   return Length;
 }
@@ -273,13 +275,13 @@
     return ErrorKind::Oversized;
   if (Size <= TagSize)
     return ErrorKind::Malformed;
-  bool Known = false;
+  bool TagMatches = false;
   for (const SecretKey &Secret : Keys) {
     std::uint8_t Tag[TagSize];
     makeTag(Data + TagSize, Size - TagSize, Secret, Tag);
-    Known = Known || sodium_memcmp(Tag, Data, TagSize) == 0;
+    TagMatches = TagMatches || sodium_memcmp(Tag, Data, TagSize) == 0;
   }
-  if (!Known)
+  if (!TagMatches)
     return ErrorKind::BadTag;
   Reader R(Data + TagSize, Size - TagSize);
   R.array(2);
