--- a/test/allocation-test.cc
+++ b/test/allocation-test.cc
@@ -1,5 +1,5 @@
-// The data path of a request balancer allocates nothing: counts every
-// allocation of this program.
+// Guards against allocations in the request balancer's data path, by counting
+// calls of operator new.
 #include "balancer-bench.h"
 
 #include <cstdlib>
@@ -23,7 +23,7 @@
 void operator delete(void *Memory) noexcept { std::free(Memory); }
 void operator delete(void *Memory, std::size_t) noexcept { std::free(Memory); }
 
-TEST_CASE("the data path allocates nothing in steady state") {
+TEST_CASE("data path does not allocate in steady state") {
   BalancerHarness B;
   B.openFlow();
   auto Round = [&](std::uint32_t From, std::uint32_t To) {
--- a/test/balancer-bench.h
+++ b/test/balancer-bench.h
@@ -1,6 +1,6 @@
 /// \file
-/// One request balancer with a caller, upstreams and a clock of its own. For
-/// focused tests of its decisions.
+/// A test harness for one request balancer with a caller, upstreams and a
+/// virtual clock.
 #ifndef THYMEWALL_TEST_BALANCER_BENCH_H
 #define THYMEWALL_TEST_BALANCER_BENCH_H
 
@@ -39,7 +39,7 @@
       [] { return DeclarationPtr(); });
 }
 
-/// One core, the time, and what it last sent to each side.
+/// Drives one core and records the last message to each destination.
 class BalancerHarness {
 public:
   explicit BalancerHarness(std::uint64_t Self = 42,
@@ -80,7 +80,7 @@
     M.Kind_ = MessageKind::Open;
     fromCaller(M);
   }
-  /// Lets the upstream that was last sent to reply.
+  /// Replies from the upstream that the last datagram was sent to.
   void reply(MessageKind K, std::uint16_t Part = 0, std::uint16_t Parts = 0) {
     Message M = LastToUpstream_->Message_;
     M.Kind_ = K;
--- a/test/balancer-test.cc
+++ b/test/balancer-test.cc
@@ -1,10 +1,10 @@
-// Focused decisions of one core, and the harness example of balancer.h.
+// Tests of one core's decisions, event by event.
 #include "balancer-bench.h"
 
 using namespace thymewall;
 using namespace thymewall::test;
 
-TEST_CASE("a harness drives a flow event by event") {
+TEST_CASE("open and request are dispatched and their answers relayed") {
   BalancerHarness B;
   B.open();
   REQUIRE(B.LastToUpstream_);
@@ -23,14 +23,14 @@
   CHECK(B.Core_.counters().Answered_ == 1U);
 }
 
-TEST_CASE("nothing is served before a declaration, and that is said at once") {
+TEST_CASE("opens are dropped before the first declaration") {
   BalancerHarness B(42, nullptr);
   B.open();
   CHECK(!B.LastToCaller_); // no service, so no socket it could have come from
   CHECK(B.errorCount(ErrorKind::UnknownService) == 1U);
 }
 
-TEST_CASE("a short open is dropped, so that a reply is never longer") {
+TEST_CASE("open below the minimum size is dropped") {
   BalancerHarness B;
   Message M;
   M.Kind_ = MessageKind::Open;
@@ -39,7 +39,8 @@
   CHECK(B.errorCount(ErrorKind::Malformed) == 1U);
 }
 
-TEST_CASE("parts are sent on in any order, each once, late ones never") {
+TEST_CASE(
+    "answer parts are relayed in any order, duplicates and late ones dropped") {
   BalancerHarness B;
   B.openFlow();
   B.fromCaller(B.request(1));
@@ -56,7 +57,7 @@
   CHECK(B.errorCount(ErrorKind::LateAnswer) == 1U);
 }
 
-TEST_CASE("a request is given up at its deadline, cancelled and answered") {
+TEST_CASE("request without answer is cancelled and refused at its deadline") {
   BalancerHarness B;
   B.openFlow();
   B.fromCaller(B.request(1));
@@ -70,7 +71,7 @@
   CHECK(B.LastToUpstream_->Message_.Kind_ == MessageKind::Cancel);
 }
 
-TEST_CASE("an upstream's refusal is told at once, and is 'not run' just once") {
+TEST_CASE("upstream's refusal is relayed, as not run only for the sole copy") {
   BalancerHarness B;
   B.openFlow();
   B.fromCaller(B.request(1));
@@ -83,10 +84,10 @@
   CHECK(!notRun(B));
   B.fromCaller(B.request(2, true));
   B.reply(MessageKind::Refused);
-  CHECK(!notRun(B)); // others may hold copies of a repeatable request
+  CHECK(!notRun(B)); // other balancers may dispatch copies
 }
 
-TEST_CASE("a passed deadline is refused without being sent") {
+TEST_CASE("past and too distant deadlines are refused without dispatch") {
   BalancerHarness B;
   B.openFlow();
   int Before = B.ToUpstreamCount_;
@@ -97,23 +98,23 @@
   CHECK(B.LastToCaller_->Message_.Reason_ == ErrorKind::DeadlinePassed);
   CHECK(notRun(B));
   M = B.request(2);
-  M.Deadline_ = B.now().Wall_ + milliseconds(2100); // 1 s and the slack
+  M.Deadline_ = B.now().Wall_ + milliseconds(2100); // beyond 1 s and clock skew
   B.fromCaller(M);
   CHECK(B.LastToCaller_->Message_.Reason_ == ErrorKind::DeadlineTooFar);
   CHECK(!notRun(B));
 }
 
-TEST_CASE("a used number sent again as repeatable upsets no count") {
+TEST_CASE("reusing a number as repeatable keeps the in-flight count correct") {
   BalancerHarness B(42, makeDeclaration(1, 1, R"("in_flight_per_slot": 2,)"));
   B.openFlow();
   B.fromCaller(B.request(1));
   B.reply(MessageKind::Answer);
-  B.fromCaller(B.request(1, true)); // while copies are still swallowed
+  B.fromCaller(B.request(1, true)); // while duplicates are dropped
   B.reply(MessageKind::Answer);
   CHECK(B.Core_.status().Upstreams_[0].InFlight_ == 0U);
 }
 
-TEST_CASE("beyond its bound an upstream gets no more, and callers are told") {
+TEST_CASE("requests beyond the in-flight limit are refused as overloaded") {
   BalancerHarness B(42, makeDeclaration(1, 1, R"("in_flight_per_slot": 2,)"));
   B.openFlow();
   for (std::uint32_t I = 1; I <= 2; ++I)
@@ -125,7 +126,7 @@
   CHECK(notRun(B));
 }
 
-TEST_CASE("an open that is refused goes elsewhere only within the budget") {
+TEST_CASE("refused open is retried elsewhere only within the retry budget") {
   BalancerHarness B(42, makeDeclaration(1, 2, R"("retry_budget": 1,)"));
   B.open();
   Endpoint First = B.LastToUpstream_->To_;
@@ -142,7 +143,7 @@
   CHECK(None.ToUpstreamCount_ == 1);
 }
 
-TEST_CASE("a request without a route, or with a forged one, is not guessed") {
+TEST_CASE("request without a route or with a forged one is not dispatched") {
   BalancerHarness B;
   B.openFlow();
   int Before = B.ToUpstreamCount_;
@@ -161,14 +162,14 @@
   CHECK(B.errorCount(ErrorKind::ForgedRoute) == 1U);
 }
 
-TEST_CASE("a home that has lost its memory of a flow runs no old number") {
+TEST_CASE("home that lost a flow's row does not run an old request number") {
   BalancerHarness B;
   B.openFlow();
   Message First = B.request(1);
   First.Deadline_ = {};
   B.fromCaller(First);
   B.reply(MessageKind::Answer);
-  for (int I = 0; I < 4100; ++I) { // over an hour
+  for (int I = 0; I < 4100; ++I) { // longer than the idle timeout
     B.pauseProcess(milliseconds(900));
     B.handle(Tick{});
   }
@@ -183,12 +184,12 @@
   CHECK(B.ToUpstreamCount_ == Before + 1);
 }
 
-TEST_CASE("what an upstream says of an earlier attempt is dropped") {
+TEST_CASE("upstream's replies to an earlier attempt are dropped") {
   BalancerHarness B;
   B.openFlow();
   B.fromCaller(B.request(1, true));
   ToUpstream Earlier = *B.LastToUpstream_;
-  B.fromCaller(B.request(1, true)); // the caller asks again
+  B.fromCaller(B.request(1, true)); // the caller retries
   CHECK(B.LastToUpstream_->Message_.Attempt_ != Earlier.Message_.Attempt_);
   int Before = B.ToCallerCount_;
   for (MessageKind K :
@@ -203,14 +204,15 @@
   CHECK(B.ToCallerCount_ == Before + 1);
 }
 
-TEST_CASE("another balancer passes to the home, and answers when it is gone") {
+TEST_CASE(
+    "request is forwarded to its home, refused if the home is unreachable") {
   BalancerHarness Home;
   Home.openFlow();
   BalancerHarness Other(43);
   Other.Core_.handle(Other.now(),
                      FromCaller{CallerAddress, Home.request(1), 200},
                      Other.Sink_);
-  CHECK(!Other.LastToPeer_); // no service 0: the socket's service was not set
+  CHECK(!Other.LastToPeer_); // service 0 is unknown
   Message M = Home.request(1);
   Other.fromCaller(M);
   REQUIRE(Other.LastToPeer_);
@@ -229,7 +231,7 @@
   CHECK(Other.ToUpstreamCount_ == 1);
 }
 
-TEST_CASE("a flow moves from a dead home before a request of it is lost") {
+TEST_CASE("ping moves a flow from a dead home to another balancer") {
   BalancerHarness Home;
   Home.openFlow();
   BalancerHarness Other(43);
@@ -240,7 +242,7 @@
   Ping.Kind_ = MessageKind::Ping;
   Ping.Route_ = Home.Route_.bytes();
   Other.fromCaller(Ping);
-  CHECK(!Other.LastToCaller_); // the home lives
+  CHECK(!Other.LastToCaller_); // the home is alive
   Other.advance(std::chrono::seconds(6));
   Other.fromCaller(Ping);
   REQUIRE(Other.LastToCaller_);
@@ -249,7 +251,7 @@
   int Before = Other.ToUpstreamCount_;
   Other.fromCaller(Other.request(1));
   CHECK(Other.ToUpstreamCount_ == Before + 1);
-  Other.fromCaller(Home.request(1)); // a copy under the old route
+  Other.fromCaller(Home.request(1)); // a duplicate with the old route
   CHECK(Other.ToUpstreamCount_ == Before + 1);
   Other.handle(
       HeartbeatReceived{BalancerId{1}, HomeAt, Incarnation{42}, false});
@@ -257,7 +259,7 @@
   CHECK(Other.Core_.counters().Moved_ == 1U);
 }
 
-TEST_CASE("a process that wakes late rereads before it places flows") {
+TEST_CASE("resumed process rereads the declaration before it places flows") {
   BalancerHarness B;
   B.advance(milliseconds(50));
   B.pauseProcess(std::chrono::seconds(5));
@@ -265,7 +267,7 @@
   CHECK(B.RereadId_ == 1U);
   CHECK(B.ToUpstreamCount_ == 0);
   CHECK(B.LastToCaller_->Message_.Reason_ == ErrorKind::NotReady);
-  B.handle(DeclarationUnchanged{}); // was under way before the pause
+  B.handle(DeclarationUnchanged{}); // sent before the suspension
   B.open();
   CHECK(B.ToUpstreamCount_ == 0);
   B.handle(DeclarationUnchanged{B.RereadId_});
@@ -273,7 +275,8 @@
   CHECK(B.ToUpstreamCount_ == 1);
 }
 
-TEST_CASE("no source for 3 s after a late wake: the old intent serves on") {
+TEST_CASE(
+    "resumed process uses the old declaration if no source answers in 3 s") {
   BalancerHarness B;
   B.advance(milliseconds(50));
   B.pauseProcess(std::chrono::seconds(5));
@@ -282,7 +285,7 @@
   CHECK(B.ToUpstreamCount_ == 1);
 }
 
-TEST_CASE("a declaration never gives way to an earlier one") {
+TEST_CASE("older declaration does not replace a newer one") {
   BalancerHarness B(42, makeDeclaration(5, 2));
   B.handle(DeclarationRead{makeDeclaration(4, 1)});
   CHECK(B.Core_.status().DeclarationVersion_ == 5U);
@@ -290,7 +293,7 @@
   CHECK(B.Core_.status().DeclarationVersion_ == 6U);
 }
 
-TEST_CASE("the host list's leaving upstream gets no new flow") {
+TEST_CASE("upstream marked as leaving in the host list gets no new flow") {
   BalancerHarness B(42, makeDeclaration(1, 1));
   HostList L;
   L.Version_ = 1;
@@ -302,7 +305,8 @@
   CHECK(notRun(B));
 }
 
-TEST_CASE("an address that went to another upstream gets no old flow") {
+TEST_CASE(
+    "requests are not sent to an address reassigned to another upstream") {
   BalancerHarness B(42, makeDeclaration(1, 1));
   B.openFlow();
   DeclarationPtr Reused = boost::leaf::try_handle_all(
@@ -323,7 +327,7 @@
   CHECK(B.errorCount(ErrorKind::FlowUnknown) == 2U);
 }
 
-TEST_CASE("a stopping balancer with a peer passes opens on") {
+TEST_CASE("stopping balancer forwards opens to a peer") {
   BalancerHarness B;
   B.handle(
       HeartbeatReceived{BalancerId{9}, PeerAddress, Incarnation{77}, false});
@@ -335,7 +339,7 @@
   CHECK(B.LastToPeer_->Datagram_.Inner_.Kind_ == MessageKind::Open);
 }
 
-TEST_CASE("a datagram of an unknown upstream is dropped") {
+TEST_CASE("datagram from an unknown upstream is dropped") {
   BalancerHarness B;
   B.openFlow();
   B.fromCaller(B.request(1));
--- a/test/event-queue.h
+++ b/test/event-queue.h
@@ -1,5 +1,5 @@
 /// \file
-/// Virtual time of a test: what is due later, in the order of its time.
+/// A queue of tasks under virtual time.
 #ifndef THYMEWALL_TEST_EVENT_QUEUE_H
 #define THYMEWALL_TEST_EVENT_QUEUE_H
 
@@ -13,11 +13,11 @@
 class EventQueue {
 public:
   MonoTime now() const { return Now_; }
-  /// Does it \p Delay from now; of two at one time the first asked for first.
+  /// Schedules a task; tasks due at the same time run in the order of calls.
   void after(Micros Delay, std::function<void()> Task) {
     Queue_.push({Now_ + Delay, ++Sequence_, std::move(Task)});
   }
-  /// Does what is due until \p Until, in virtual time from the start.
+  /// Runs all tasks due up to \p Until after the start.
   void run(Micros Until) {
     MonoTime End = Start_ + Until;
     while (!Queue_.empty() && Queue_.top().At_ <= End) {
--- a/test/fleet-parties.cc
+++ b/test/fleet-parties.cc
@@ -1,4 +1,4 @@
-// The fleet's fake upstreams and callers.
+// Fake upstreams and callers of the fleet simulation.
 #include "fleet.h"
 
 #include <algorithm>
--- a/test/fleet.cc
+++ b/test/fleet.cc
@@ -136,7 +136,7 @@
   return Partitions_.count({From, To}) != 0;
 }
 
-/// Delivers to whichever process has the balancer's address by then.
+/// Delivers to the process at the balancer's address on arrival.
 void Fleet::sendToNode(std::size_t I, const Task &Deliver) {
   schedule(arrivalTime(), [this, I, Deliver] {
     Node &N = Nodes_[I];
@@ -196,7 +196,7 @@
       if (J != I && Nodes_[J].Core_ && !isPartitioned(I, J))
         sendToNode(J, [this, J, S] { handleEvent(J, SuccessionReceived{S}); });
   } else if (std::get_if<Stopped>(&A)) {
-    // The core is inside its own call, so it ends at the next step.
+    // The core is still on the stack, so it is destroyed in a task.
     Incarnation Expected = N.Incarnation_;
     schedule(Now_, [this, I, Expected] {
       if (Nodes_[I].Incarnation_ == Expected)
@@ -207,7 +207,7 @@
   }
 }
 
-/// What the platform, or else every peer, answers to a balancer that has woken.
+/// Answers a reread by the platform or, if it is down, by every peer.
 void Fleet::reread(std::size_t I, std::uint64_t RereadId) {
   if (Now_ >= PlatformDownUntil_) {
     DeclarationPtr Latest = Published_.back();
@@ -227,8 +227,8 @@
       });
 }
 
-/// Heartbeats between peers, with what the control plane does on them, and the
-/// platform's watches.
+/// Sends heartbeats and declarations between peers, and the platform's
+/// declaration to every balancer.
 void Fleet::heartbeat() {
   for (std::size_t I = 0; I < Nodes_.size(); ++I) {
     Node &From = Nodes_[I];
--- a/test/fleet.h
+++ b/test/fleet.h
@@ -1,6 +1,7 @@
 /// \file
-/// Several cores with small fakes between them, under virtual time: callers,
-/// upstreams, a platform, and a network that loses, repeats and delays.
+/// A simulation of several balancers under virtual time, with fake callers,
+/// upstreams and platform, and a network that loses, duplicates and delays
+/// datagrams.
 #ifndef THYMEWALL_TEST_FLEET_H
 #define THYMEWALL_TEST_FLEET_H
 
@@ -17,7 +18,7 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-/// What a run injects.
+/// The type of an injected fault.
 enum class FaultKind {
   KillBalancer,
   RestartBalancer,
@@ -30,9 +31,9 @@
   PlatformDown,
   PlatformStale,
   Relabel, ///< Planned: half of the upstreams change service.
-  Drain,   ///< Planned: one upstream is selected no more.
+  Drain,   ///< Planned: one upstream is deselected.
   UpstreamRestart,
-  UpstreamReplaced, ///< Its address comes back as the other service's.
+  UpstreamReplaced, ///< Its address now serves the other service.
   UpstreamRefuses,
   UpstreamSlow,
   Count
@@ -40,8 +41,8 @@
 
 struct Fault {
   FaultKind Kind_ = FaultKind::KillBalancer;
-  Micros At_{}; ///< From the start of the run.
-  unsigned Parameter_ = 0;
+  Micros At_{};            ///< Since the start of the run.
+  unsigned Parameter_ = 0; ///< Selects the target and the extent.
 };
 
 struct FleetOptions {
@@ -53,13 +54,13 @@
   double AtMostOnceShare_ = 0.5;
   double LossRate_ = 0;
   double DuplicateRate_ = 0;
-  double DelayedShare_ = 0; ///< Share that takes up to 100 ms longer.
+  double DelayedShare_ = 0; ///< Share of datagrams delayed up to 100 ms.
   bool UpstreamsRemember_ = false;
-  bool ForgeRoutes_ = false; ///< Callers also send routes of other flows.
+  bool ForgeRoutes_ = false; ///< Callers also send other flows' routes.
   Micros MaxPause_ = milliseconds(300); ///< Between a flow's requests.
 };
 
-/// What callers and upstreams saw by themselves.
+/// Counts made by the fake callers and upstreams.
 struct FleetResults {
   std::uint64_t Events_ = 0; ///< Handled by cores.
   std::uint64_t Requests_ = 0;
@@ -75,12 +76,12 @@
   std::uint64_t WrongService_ = 0;
   std::uint64_t MixedAnswers_ = 0;
   std::uint64_t VersionRollbacks_ = 0;
-  std::uint64_t LateOpens_ = 0; ///< Opens 3 s after an upstream left.
+  std::uint64_t LateOpens_ = 0; ///< Opens 3 s after an upstream was deselected.
   std::uint64_t Adopted_ = 0;
   std::uint64_t Rehomed_ = 0;
   std::map<std::string, std::uint64_t>
       OutcomeUnknownReasons_; ///< Of unknown outcomes.
-  bool Converged_ = false;    ///< The newest version, at the end.
+  bool Converged_ = false;    ///< All cores have the newest declaration.
 };
 
 class Fleet {
@@ -117,7 +118,7 @@
     std::map<std::uint64_t, ServiceId> Flows_;
     std::map<std::uint64_t, std::uint64_t>
         RunByEpoch_;                       ///< Epoch to run number.
-    std::optional<ServiceId> OnlyService_; ///< Serves just this, if set.
+    std::optional<ServiceId> OnlyService_; ///< If set, the only service.
     Time RefusesUntil_{};
     Time SlowUntil_{};
     std::map<ServiceId, Time> DrainedAt_;
@@ -134,12 +135,12 @@
     bool AtMostOnce_ = false;
     SealedRoute SentRoute_;
     Time Deadline_{};
-    /// By attempt, each part's run number. Attempts may arrive interleaved.
+    /// Run number of each part by attempt; attempts may arrive interleaved.
     std::map<std::uint64_t, std::map<std::uint16_t, std::uint64_t>> Parts_;
-    std::uint64_t TimerGeneration_ = 0; ///< Cancels timers of earlier steps.
+    std::uint64_t TimerGeneration_ = 0; ///< Invalidates earlier timers.
   };
 
-  /// Wall and monotonic time at the start of a run.
+  /// Wall and monotonic time at the start.
   static constexpr Micros StartTime = seconds(1'000'000);
 
   static Datagram serialize(const Message &M);
--- a/test/message-test.cc
+++ b/test/message-test.cc
@@ -34,7 +34,7 @@
 
 } // namespace
 
-TEST_CASE("a message survives the codec") {
+TEST_CASE("decoding an encoded message gives the same message") {
   std::uint8_t Buffer[512];
   std::size_t Size = encode(sample(), Buffer, sizeof Buffer);
   REQUIRE(Size > 0);
@@ -43,14 +43,14 @@
   CHECK(M == sample());
 }
 
-TEST_CASE("a message that does not fit is not written") {
+TEST_CASE("encoding fails if the buffer is too small") {
   std::uint8_t Buffer[512];
   std::size_t Size = encode(sample(), Buffer, sizeof Buffer);
   for (std::size_t BufferSize = 0; BufferSize < Size; ++BufferSize)
     CHECK(encode(sample(), Buffer, BufferSize) == 0);
 }
 
-TEST_CASE("truncated, longer and oversized datagrams are malformed") {
+TEST_CASE("truncated, overlong and oversized datagrams are rejected") {
   std::uint8_t Buffer[4096] = {};
   std::size_t Size = encode(sample(), Buffer, sizeof Buffer);
   Message M;
@@ -60,7 +60,7 @@
   CHECK(decode(Buffer, sizeof Buffer, M) == ErrorKind::Oversized);
 }
 
-TEST_CASE("a part beyond the parts is malformed") {
+TEST_CASE("part index beyond the number of parts is malformed") {
   Message Invalid = sample();
   Invalid.Part_ = 3;
   std::uint8_t Buffer[512];
@@ -69,7 +69,8 @@
   CHECK(decode(Buffer, Size, M) == ErrorKind::Malformed);
 }
 
-TEST_CASE("no bytes crash the decoders, and what decodes encodes again") {
+TEST_CASE(
+    "decoders accept any bytes without a crash, and round-trip valid ones") {
   CHECK(rc::check("random and damaged bytes", [] {
     std::uint8_t Buffer[1024];
     std::size_t Size = encode(sample(), Buffer, sizeof Buffer);
@@ -93,7 +94,7 @@
   }));
 }
 
-TEST_CASE("a peer datagram is taken under either key and no other") {
+TEST_CASE("peer datagram is accepted under either key and no other") {
   std::uint8_t Buffer[1024];
   PeerDatagram D{PeerMessageKind::Delegated, sample()};
   std::size_t Size = encodePeer(D, secret(), Buffer, sizeof Buffer);
--- a/test/promises-test.cc
+++ b/test/promises-test.cc
@@ -1,4 +1,5 @@
-// The brief's promises as properties: fleets of cores under generated faults.
+// Property tests of the delivery guarantees, on simulated fleets with random
+// faults.
 #include "fleet.h"
 
 #include <doctest/doctest.h>
@@ -12,7 +13,7 @@
 
 std::uint64_t TotalEvents = 0;
 
-/// Faults of the given kinds, spread over a run.
+/// Generates up to \p MaxCount faults of the given kinds before \p Until.
 std::vector<Fault> generateFaults(const std::vector<FaultKind> &Kinds,
                                   std::size_t MaxCount, Micros Until) {
   auto Count = *rc::gen::inRange<std::size_t>(1, MaxCount + 1);
@@ -37,7 +38,7 @@
   return S;
 }
 
-/// What must hold whatever happens.
+/// Asserts the guarantees that hold under all faults.
 void assertInvariants(const FleetResults &S) {
   RC_ASSERT(S.RanTwice_ == 0U);
   RC_ASSERT(S.FalseNotRun_ == 0U);
@@ -66,7 +67,7 @@
 
 } // namespace
 
-TEST_CASE("every promise but unbroken flows holds under any faults") {
+TEST_CASE("delivery guarantees hold under random faults") {
   CHECK(rc::check("any faults, upstreams without memory", [] {
     FleetOptions O = lossyNetwork();
     assertInvariants(
@@ -74,7 +75,7 @@
   }));
 }
 
-TEST_CASE("an upstream that remembers requests runs none twice") {
+TEST_CASE("delivery guarantees hold with deduplicating upstreams") {
   CHECK(rc::check("any faults, upstreams with memory", [] {
     FleetOptions O = lossyNetwork();
     O.UpstreamsRemember_ = true;
@@ -83,7 +84,7 @@
   }));
 }
 
-TEST_CASE("routes of other flows and services never cross services") {
+TEST_CASE("forged routes never reach another service") {
   CHECK(rc::check("any faults, forged routes", [] {
     FleetOptions O = lossyNetwork();
     O.ForgeRoutes_ = true;
@@ -110,13 +111,13 @@
   }));
 }
 
-TEST_CASE("a planned stop cuts no request and hands on at-most-once") {
+TEST_CASE("planned stop loses no request and adopts at-most-once requests") {
   CHECK(rc::check("one balancer stops", [] {
     FleetOptions O;
     O.Seed_ = *rc::gen::arbitrary<std::uint64_t>();
     O.DuplicateRate_ = *rc::gen::element(0.0, 0.2);
     O.DelayedShare_ = *rc::gen::element(0.0, 0.2);
-    O.MaxPause_ = seconds(4); // some flows are idle through the whole stop
+    O.MaxPause_ = seconds(4); // some flows are idle throughout the stop
     Fault Stop{FaultKind::StopBalancer,
                milliseconds(*rc::gen::inRange(2000, 4000)),
                *rc::gen::inRange(0U, 4U)};
@@ -130,7 +131,7 @@
   }));
 }
 
-TEST_CASE("the death of one balancer breaks no flow") {
+TEST_CASE("crash of one balancer breaks no flow") {
   CHECK(rc::check("one balancer dies", [] {
     FleetOptions O;
     O.Seed_ = *rc::gen::arbitrary<std::uint64_t>();
@@ -145,16 +146,16 @@
   }));
 }
 
-TEST_CASE("a leaving upstream gets no new work although a balancer sleeps") {
+TEST_CASE("drained upstream gets no opens although a balancer is suspended") {
   CHECK(rc::check("drain while a balancer is frozen", [] {
     FleetOptions O;
     O.Seed_ = *rc::gen::arbitrary<std::uint64_t>();
-    O.Flows_ = 200; // opens go on while the change is made
+    O.Flows_ = 200; // opens continue during the drain
     std::vector<Fault> Faults = {
         {FaultKind::FreezeBalancer, milliseconds(600),
          *rc::gen::inRange(2600U, 2900U)},
         {FaultKind::Drain, milliseconds(700), *rc::gen::inRange(0U, 6U)}};
-    for (unsigned I = 0; I < 4; ++I) // and flows are opened anew
+    for (unsigned I = 0; I < 4; ++I) // restarts cause new opens
       Faults.push_back(
           {FaultKind::UpstreamRestart, milliseconds(3000 + 400 * I), 1 + I});
     FleetResults S = runFleet(O, Faults);
@@ -163,7 +164,7 @@
   }));
 }
 
-TEST_CASE("the newest declaration is in force everywhere within 2 seconds") {
+TEST_CASE("all balancers converge on the newest declaration within 2 seconds") {
   CHECK(rc::check("racing declarations, platform down or stale", [] {
     FleetOptions O;
     O.Seed_ = *rc::gen::arbitrary<std::uint64_t>();
@@ -178,7 +179,7 @@
   }));
 }
 
-TEST_CASE("enough events were run") {
+TEST_CASE("simulated fleets handled enough events") {
   std::cout << "core events under faults: " << TotalEvents << "\n";
   CHECK(TotalEvents > 200'000U);
 }
--- a/test/timed-table-test.cc
+++ b/test/timed-table-test.cc
@@ -19,10 +19,10 @@
 
 } // namespace
 
-TEST_CASE("a table agrees with a model under any order of operations") {
+TEST_CASE("table matches a model under random operations") {
   CHECK(rc::check("insert, rearm, erase, expire", [] {
     FlowTable Table(64);
-    std::map<std::uint64_t, std::uint32_t> Model; // flow to due tick
+    std::map<std::uint64_t, std::uint32_t> Model; // flow to expiry tick
     std::uint32_t Now = 0;
     auto Steps = *rc::gen::container<std::vector<std::pair<int, int>>>(
         rc::gen::pair(rc::gen::inRange(0, 4), rc::gen::inRange(0, 10'000)));
@@ -59,7 +59,7 @@
   }));
 }
 
-TEST_CASE("a row that is rearmed while it expires stays") {
+TEST_CASE("row rearmed by the expiry callback is kept") {
   FlowTable Table(8);
   Table.insert(makeRow(1), 5);
   Table.expire(5, [&](FlowRow &Row) { Table.rearm(Row, 9); });
@@ -68,7 +68,7 @@
   CHECK(Table.find(makeKey(1)) == nullptr);
 }
 
-TEST_CASE("request numbers are used once, in any order") {
+TEST_CASE("each request number is used once, in any order") {
   CHECK(rc::check("window of 64", [] {
     FlowRow Row;
     std::set<std::uint32_t> Used = {0};
