--- a/include/thymewall/balancer.h
+++ b/include/thymewall/balancer.h
@@ -37,8 +37,7 @@
 struct FromCaller {
   Endpoint From_;
   Message Message_;
-  std::size_t WireSize_ = 0; ///< Bytes; an `Open` below `MinOpenSize` is
-                             ///< dropped.
+  std::size_t WireSize_ = 0; ///< At least `MinOpenSize` for an open.
 };
 /// A datagram from an upstream.
 struct FromUpstream {
--- a/test/fleet.h
+++ b/test/fleet.h
@@ -80,7 +80,7 @@
   std::uint64_t Adopted_ = 0;
   std::uint64_t Rehomed_ = 0;
   std::map<std::string, std::uint64_t>
-      OutcomeUnknownReasons_; ///< Of unknown outcomes.
+      OutcomeUnknownReasons_; ///< Counts by reason.
   bool Converged_ = false;    ///< All cores have the newest declaration.
 };
 
@@ -117,7 +117,7 @@
     Incarnation Incarnation_{};
     std::map<std::uint64_t, ServiceId> Flows_;
     std::map<std::uint64_t, std::uint64_t>
-        RunByEpoch_;                       ///< Epoch to run number.
+        RunByEpoch_;                       ///< Run of each request.
     std::optional<ServiceId> OnlyService_; ///< If set, the only service.
     Time RefusesUntil_{};
     Time SlowUntil_{};
