--- a/test/allocation-test.cc
+++ b/test/allocation-test.cc
@@ -1,6 +1,6 @@
 // Guards against allocations in the request balancer's data path, by counting
 // calls of operator new.
-#include "balancer-bench.h"
+#include "balancer-harness.h"
 
 #include <cstdlib>
 #include <new>
--- a/test/balancer-bench.h
+++ b/test/balancer-harness.h
@@ -1,8 +1,8 @@
 /// \file
 /// A test harness for one request balancer with a caller, upstreams and a
 /// virtual clock.
-#ifndef THYMEWALL_TEST_BALANCER_BENCH_H
-#define THYMEWALL_TEST_BALANCER_BENCH_H
+#ifndef THYMEWALL_TEST_BALANCER_HARNESS_H
+#define THYMEWALL_TEST_BALANCER_HARNESS_H
 
 #include "thymewall/balancer.h"
 
--- a/test/balancer-test.cc
+++ b/test/balancer-test.cc
@@ -1,5 +1,5 @@
 // Tests of one core's decisions, event by event.
-#include "balancer-bench.h"
+#include "balancer-harness.h"
 
 using namespace thymewall;
 using namespace thymewall::test;
