--- a/src/balancer-succession.cc
+++ b/src/balancer-succession.cc
@@ -7,21 +7,21 @@
 using detail::isEnabled;
 using detail::Mechanism;
 
-void Balancer::Impl::on(const StopAsked &) {
+void Balancer::Impl::on(const StopRequested &) {
   if (Stopping_)
     return;
   Stopping_ = true;
-  // A request that was sent before may be copied to us until its deadline.
-  StopBy_ = Now_.Mono_ + LongestDeadlineSeen_ + 2 * ClockSlack;
-  declareSuccession();
+  // Duplicates of earlier requests may arrive until their deadline.
+  EarliestStop_ = Now_.Mono_ + MaxServiceDeadline_ + 2 * MaxClockSkew;
+  announceSuccession();
 }
 
-/// Names the successors. Nothing that this process handed on has a deadline
-/// after the fence, because `submitToRow` refuses deadlines further ahead.
-void Balancer::Impl::declareSuccession() {
+/// Announces the live peers as successors. No dispatched request has a deadline
+/// after the fence, because `submitToFlow` refuses later deadlines.
+void Balancer::Impl::announceSuccession() {
   Succession S;
   S.Home_ = Options_.Incarnation_;
-  S.Fence_ = Now_.Wall_ + LongestDeadlineSeen_ + ClockSlack;
+  S.Fence_ = Now_.Wall_ + MaxServiceDeadline_ + MaxClockSkew;
   for (const Peer &P : Peers_)
     if (!P.Leaving_)
       S.Successors_.push_back({P.Data_, P.Incarnation_});
@@ -30,49 +30,51 @@
   std::sort(
       S.Successors_.begin(), S.Successors_.end(),
       [](const Successor &A, const Successor &B) { return A.Data_ < B.Data_; });
-  StopBySuccessors_ = S;
-  (*Sink_)(TellSuccession{S});
+  OwnSuccession_ = S;
+  (*Sink_)(BroadcastSuccession{S});
 }
 
-const Succession *Balancer::Impl::successionOf(const Route &R) const {
+const Succession *Balancer::Impl::findSuccession(const Route &R) const {
   for (const Succession &S : Successions_)
     if (S.Home_ == R.Home_)
       return &S;
   return nullptr;
 }
 
-/// True when the request's deadline shows that the old home never had it, and
-/// it has not expired, so that our own memory of it can't have been dropped.
+/// Returns true if the old home can't have dispatched the request, because its
+/// deadline is after the fence, and the deadline has not passed, so that this
+/// balancer still has any record of it.
 bool Balancer::Impl::mayAdopt(const Message &M, const Route &R) const {
-  const Succession *S = successionOf(R);
+  const Succession *S = findSuccession(R);
   return S &&
          (M.Deadline_ > S->Fence_ || !isEnabled(Mechanism::SuccessionFence)) &&
          M.Deadline_ > Now_.Wall_;
 }
 
-/// Runs a request of a flow whose home has stopped, under our own epoch. The
-/// answer brings the caller its new route.
+/// Handles a request of a flow whose home has stopped, with this process as the
+/// new home. The answer carries the new route.
 void Balancer::Impl::adopt(const Message &M, const Route &R) {
-  std::uint32_t Index = holder(R);
+  std::uint32_t Index = resolveUpstream(R);
   if (Index == UpstreamTable::None)
     return refuse(M, ErrorKind::FlowUnknown, Answer::OutcomeUnknown);
-  FlowRow *Row = homeOf({M.Service_, M.Flow_}, Index);
+  FlowRow *Row = findOrCreateFlow({M.Service_, M.Flow_}, Index);
   ++Counters_.Adopted_;
   if (!Row)
     return refuse(M, ErrorKind::Overloaded, Answer::OutcomeUnknown);
-  submitToRow(*Row, M, R, Origin::Adopted);
+  submitToFlow(*Row, M, R, RequestOrigin::Adopted);
 }
 
-/// A stopping home passes a request to its successor: as `Delegate` one that it
-/// has never run nor will (its number is used from now on), as `Repeat` a copy
-/// of one that it or the successor had before.
-void Balancer::Impl::delegate(const Message &M, const Route &R, PeerKind Kind) {
-  const Successor &Next = successorOf(StopBySuccessors_, {M.Service_, M.Flow_});
-  pass(M, R, Next.Data_, Kind);
+/// Forwards a request from a stopping home to its successor: as `Delegated` if
+/// this process didn't and won't run it, as `Duplicate` if this process or the
+/// successor received it before.
+void Balancer::Impl::delegate(const Message &M, const Route &R, PeerMessageKind Kind) {
+  const Successor &Next = successorOf(OwnSuccession_, {M.Service_, M.Flow_});
+  forwardToPeer(M, R, Next.Data_, Kind);
 }
 
-/// A peer to place the flows that still arrive here while we stop.
-const Peer *Balancer::Impl::openSuccessor(const FlowKey &Flow) const {
+/// Returns the peer that handles opens which arrive while this balancer stops,
+/// or null if there is none.
+const Peer *Balancer::Impl::successorForOpen(const FlowKey &Flow) const {
   const Peer *Best = nullptr;
   std::uint64_t BestScore = 0;
   for (const Peer &P : Peers_) {
@@ -86,11 +88,11 @@
 }
 
 void Balancer::Impl::checkStopped() {
-  bool Idle = Requests_.size() == 0 && Passes_.size() == 0;
-  bool Over = Now_.Mono_ >= StopBy_;
-  if (StoppedTold_ || !Idle || !Over)
+  bool Idle = Requests_.size() == 0 && Forwards_.size() == 0;
+  bool GracePeriodOver = Now_.Mono_ >= EarliestStop_;
+  if (StoppedSent_ || !Idle || !GracePeriodOver)
     return;
-  StoppedTold_ = true;
+  StoppedSent_ = true;
   (*Sink_)(Stopped{});
 }
 
--- a/src/packet-balancer-upstreams.cc
+++ b/src/packet-balancer-upstreams.cc
@@ -227,7 +227,7 @@
   S.RoutingVersion_ = Routing_ ? Routing_->Version_ : 0;
   S.ConfirmedAsOf_ = ConfirmedAsOf_;
   S.Flows_ = Flows_.size();
-  S.MemoryBytes_ = Flows_.memory();
+  S.MemoryBytes_ = Flows_.memoryBytes();
   S.EvacuatedHalls_.assign(EvacuatedHalls_.begin(), EvacuatedHalls_.end());
   for (const auto &[UpstreamCookie, Index] : IndexOfCookie_) {
     const UpstreamState &State = UpstreamStates_[Index];
--- a/test/message-test.cc
+++ b/test/message-test.cc
@@ -11,7 +11,7 @@
   static const std::uint8_t RouteBytes[] = {1, 2, 3};
   static const std::uint8_t PayloadBytes[] = {9, 8, 7, 6};
   Message M;
-  M.Kind_ = Kind::Answer;
+  M.Kind_ = MessageKind::Answer;
   M.Service_ = ServiceId{7};
   M.Flow_ = FlowId{0xfedcba9876543210};
   M.Request_ = 70'000;
@@ -23,7 +23,7 @@
   M.Incarnation_ = Incarnation{5};
   M.Reason_ = ErrorKind::Overloaded;
   M.RetryAt_ = WallTime(Micros(12));
-  M.Load_ = 4;
+  M.OpenFlows_ = 4;
   M.Route_ = {RouteBytes, sizeof RouteBytes};
   M.Caller_ = parseEndpoint("192.0.2.1:4000");
   M.Payload_ = {PayloadBytes, sizeof PayloadBytes};
@@ -34,7 +34,7 @@
 
 } // namespace
 
-TEST_CASE("a message survives the codec") {
+TEST_CASE("decoding an encoded message gives the same message") {
   std::uint8_t Buffer[512];
   std::size_t Size = encode(sample(), Buffer, sizeof Buffer);
   REQUIRE(Size > 0);
@@ -43,14 +43,14 @@
   CHECK(M == sample());
 }
 
-TEST_CASE("a message that does not fit is not written") {
+TEST_CASE("encoding fails if the buffer is too small") {
   std::uint8_t Buffer[512];
   std::size_t Size = encode(sample(), Buffer, sizeof Buffer);
-  for (std::size_t Room = 0; Room < Size; ++Room)
-    CHECK(encode(sample(), Buffer, Room) == 0);
+  for (std::size_t BufferSize = 0; BufferSize < Size; ++BufferSize)
+    CHECK(encode(sample(), Buffer, BufferSize) == 0);
 }
 
-TEST_CASE("truncated, longer and oversized datagrams are malformed") {
+TEST_CASE("truncated, overlong and oversized datagrams are rejected") {
   std::uint8_t Buffer[4096] = {};
   std::size_t Size = encode(sample(), Buffer, sizeof Buffer);
   Message M;
@@ -60,16 +60,17 @@
   CHECK(decode(Buffer, sizeof Buffer, M) == ErrorKind::Oversized);
 }
 
-TEST_CASE("a part beyond the parts is malformed") {
-  Message Wrong = sample();
-  Wrong.Part_ = 3;
+TEST_CASE("part index beyond the number of parts is malformed") {
+  Message Invalid = sample();
+  Invalid.Part_ = 3;
   std::uint8_t Buffer[512];
-  std::size_t Size = encode(Wrong, Buffer, sizeof Buffer);
+  std::size_t Size = encode(Invalid, Buffer, sizeof Buffer);
   Message M;
   CHECK(decode(Buffer, Size, M) == ErrorKind::Malformed);
 }
 
-TEST_CASE("no bytes crash the decoders, and what decodes encodes again") {
+TEST_CASE(
+    "decoders accept any bytes without a crash, and round-trip valid ones") {
   CHECK(rc::check("random and damaged bytes", [] {
     std::uint8_t Buffer[1024];
     std::size_t Size = encode(sample(), Buffer, sizeof Buffer);
@@ -93,16 +94,16 @@
   }));
 }
 
-TEST_CASE("a peer datagram is taken under either key and no other") {
+TEST_CASE("peer datagram is accepted under either key and no other") {
   std::uint8_t Buffer[1024];
-  PeerDatagram D{PeerKind::Delegate, sample()};
+  PeerDatagram D{PeerMessageKind::Delegated, sample()};
   std::size_t Size = encodePeer(D, secret(), Buffer, sizeof Buffer);
   PeerDatagram Read;
   CHECK(decodePeer(Buffer, Size, {secret(), SecretKey{}}, Read) ==
         ErrorKind::None);
   CHECK(decodePeer(Buffer, Size, {SecretKey{}, secret()}, Read) ==
         ErrorKind::None);
-  CHECK(Read.Kind_ == PeerKind::Delegate);
+  CHECK(Read.Kind_ == PeerMessageKind::Delegated);
   CHECK(Read.Inner_ == sample());
   CHECK(decodePeer(Buffer, Size, {SecretKey{}, SecretKey{9}}, Read) ==
         ErrorKind::BadTag);
