--- a/include/thymewall/balancer.h
+++ b/include/thymewall/balancer.h
@@ -80,9 +80,10 @@
 /// The operator asked this process to stop.
 struct StopRequested {};
 
-using Event = std::variant<FromCaller, FromUpstream, FromPeer, DeclarationRead,
-                           DeclarationUnchanged, HostListRead, HeartbeatReceived,
-                           SuccessionReceived, Tick, StopRequested>;
+using Event =
+    std::variant<FromCaller, FromUpstream, FromPeer, DeclarationRead,
+                 DeclarationUnchanged, HostListRead, HeartbeatReceived,
+                 SuccessionReceived, Tick, StopRequested>;
 
 /// Sends a datagram to a caller.
 struct ToCaller {
@@ -126,7 +127,8 @@
 struct Counters {
   std::array<std::uint64_t, static_cast<std::size_t>(ErrorKind::Count)>
       Errors_{};
-  std::array<std::uint64_t, static_cast<std::size_t>(ResolvedBy::Count)> ResolvedBy_{};
+  std::array<std::uint64_t, static_cast<std::size_t>(ResolvedBy::Count)>
+      ResolvedBy_{};
   std::uint64_t Opens_ = 0;
   std::uint64_t Opened_ = 0;
   std::uint64_t Requests_ = 0;
--- a/src/balancer-caller.cc
+++ b/src/balancer-caller.cc
@@ -29,8 +29,9 @@
       return drop(ErrorKind::Malformed);
     return openFlow(M, true);
   }
-  bool Known = M.Kind_ == MessageKind::Request || M.Kind_ == MessageKind::Ping ||
-               M.Kind_ == MessageKind::Cancel || M.Kind_ == MessageKind::Close;
+  bool Known = M.Kind_ == MessageKind::Request ||
+               M.Kind_ == MessageKind::Ping || M.Kind_ == MessageKind::Cancel ||
+               M.Kind_ == MessageKind::Close;
   if (!Known || (M.Kind_ == MessageKind::Request && M.Request_ == 0))
     return drop(ErrorKind::Malformed);
   if (M.Kind_ == MessageKind::Request)
@@ -104,8 +105,9 @@
   return S.Eligible_;
 }
 
-std::uint32_t Balancer::Impl::chooseUpstream(const FlowKey &Key,
-                                     const EligibleSet &Candidates) const {
+std::uint32_t
+Balancer::Impl::chooseUpstream(const FlowKey &Key,
+                               const EligibleSet &Candidates) const {
   ChooserInput C{Key, Candidates, Upstreams_.rows(), Now_.Mono_};
   return Candidates.Indexes_[Options_.Chooser_(C)];
 }
@@ -164,7 +166,7 @@
   if (!HasFlow)
     --Last.OwnFlows_;
   bool MayRetry = S && !HasFlow && Row.Tries_ < MaxOpenTries &&
-             S->RetryTokens_ >= 1 && Now_.Wall_ < Row.Deadline_;
+                  S->RetryTokens_ >= 1 && Now_.Wall_ < Row.Deadline_;
   EligibleSet Alternatives;
   if (MayRetry)
     for (std::uint32_t Index : eligibleUpstreams(*S).Indexes_)
@@ -179,8 +181,8 @@
   ++Row.Tries_;
   ++Upstreams_[Row.Upstream_].OwnFlows_;
   ++Upstreams_[Row.Upstream_].InFlight_;
-  Requests_.rearm(Row,
-                  requestDue(std::min(Row.Deadline_, Now_.Wall_ + OpenAttemptTimeout)));
+  Requests_.rearm(Row, requestDue(std::min(Row.Deadline_,
+                                           Now_.Wall_ + OpenAttemptTimeout)));
   sendOpen(Row);
 }
 
@@ -235,7 +237,8 @@
 /// Sends a request to its upstream and tracks it until its last part or its
 /// deadline. Returns false and sends nothing if the request table is full.
 bool Balancer::Impl::dispatchRequest(const Message &M, const Route &R,
-                            std::uint32_t Upstream, DispatchOptions Options) {
+                                     std::uint32_t Upstream,
+                                     DispatchOptions Options) {
   const ServiceState *S = serviceState(M.Service_);
   RequestRow Row;
   Row.Key_ = keyOf(M);
@@ -292,18 +295,19 @@
 
 /// Refuses a request. \p StrongestAnswer is `NotRun` only if no copy was or
 /// will be dispatched; the table of error kinds may lower it.
-void Balancer::Impl::refuse(const Message &M, ErrorKind Reason, Answer StrongestAnswer,
-                            Bytes NewRoute) {
+void Balancer::Impl::refuse(const Message &M, ErrorKind Reason,
+                            Answer StrongestAnswer, Bytes NewRoute) {
   ++Counters_.Errors_[static_cast<std::size_t>(Reason)];
   const ErrorRow &Row = errorRow(Reason);
-  bool MaySayNotRun = StrongestAnswer == Answer::NotRun || !isEnabled(Mechanism::NotRunDowngrade);
+  bool MaySayNotRun = StrongestAnswer == Answer::NotRun ||
+                      !isEnabled(Mechanism::NotRunDowngrade);
   bool NotRun = MaySayNotRun && Row.Answer_ == Answer::NotRun;
   ++(NotRun ? Counters_.NotRun_ : Counters_.OutcomeUnknown_);
   Message Out = makeReply(M, MessageKind::Refused);
   Out.Flags_ = NotRun ? FlagNotRun : FlagOutcomeUnknown;
   Out.Reason_ = Reason;
-  auto Spread =
-      std::chrono::duration_cast<Micros>(Row.RetryAfter_ * (1 + randomFraction()));
+  auto Spread = std::chrono::duration_cast<Micros>(Row.RetryAfter_ *
+                                                   (1 + randomFraction()));
   Out.RetryAt_ = std::max(M.RetryAt_, Now_.Wall_ + Spread);
   Out.Route_ = NewRoute;
   (*Sink_)(ToCaller{M.Caller_, Out});
@@ -328,7 +332,7 @@
 }
 
 void Balancer::Impl::sendToPeer(const Endpoint &To, PeerMessageKind Kind,
-                            const Message &M) {
+                                const Message &M) {
   (*Sink_)(ToPeer{To, PeerDatagram{Kind, M}});
 }
 
--- a/src/balancer-home.cc
+++ b/src/balancer-home.cc
@@ -33,7 +33,8 @@
   Row.Service_ = Key.Service_;
   Row.Upstream_ = Upstream;
   Row.Epoch_ = ++LastEpoch_;
-  FlowRow *Inserted = Flows_.insert(Row, flowTick(Now_.Mono_) + FlowIdleTimeoutTicks);
+  FlowRow *Inserted =
+      Flows_.insert(Row, flowTick(Now_.Mono_) + FlowIdleTimeoutTicks);
   if (Inserted)
     ++Upstreams_[Upstream].OwnFlows_;
   return Inserted;
@@ -42,7 +43,8 @@
 /// Returns the row of a flow whose route names \p Upstream, or null if the
 /// table is full. A row with another upstream belongs to a duplicate of the
 /// open; the caller uses only the first `Opened`, so that row is reassigned.
-FlowRow *Balancer::Impl::findOrCreateFlow(const FlowKey &Key, std::uint32_t Upstream) {
+FlowRow *Balancer::Impl::findOrCreateFlow(const FlowKey &Key,
+                                          std::uint32_t Upstream) {
   FlowRow *Row = Flows_.find(Key);
   if (!Row)
     return createFlow(Key, Upstream);
@@ -77,7 +79,7 @@
 }
 
 SealedRoute Balancer::Impl::sealRoute(const FlowRow &Row,
-                                    Incarnation Upstream) const {
+                                      Incarnation Upstream) const {
   const UpstreamRow &U = Upstreams_.rows()[Row.Upstream_];
   Route R;
   R.Service_ = Row.Service_;
@@ -111,8 +113,8 @@
          isEnabled(Mechanism::DelegationOnStop);
 }
 
-void Balancer::Impl::submitToFlow(FlowRow &Row, const Message &M, const Route &R,
-                                 RequestOrigin Origin) {
+void Balancer::Impl::submitToFlow(FlowRow &Row, const Message &M,
+                                  const Route &R, RequestOrigin Origin) {
   if (Requests_.find({M.Service_, M.Request_, M.Flow_}))
     return; // a duplicate of a request in progress
   WallTime LatestDeadline = Now_.Wall_ + MaxServiceDeadline_ + MaxClockSkew;
@@ -144,18 +146,21 @@
   Message Out = M;
   Out.Epoch_ = hashPair(raw(M.Flow_), M.Request_);
   DispatchOptions Options{true, SoleCopy, Origin != RequestOrigin::Own};
-  if (overloaded(*S, Upstreams_[Index]) || !dispatchRequest(Out, R, Index, Options))
+  if (overloaded(*S, Upstreams_[Index]) ||
+      !dispatchRequest(Out, R, Index, Options))
     refuse(M, ErrorKind::Overloaded, StrongestAnswer);
 }
 
 /// Forwards a request to another balancer and retransmits it until accepted.
 /// After that this balancer can't know whether the request was run.
 void Balancer::Impl::forwardToPeer(const Message &M, const Route &R,
-                          const Endpoint &Destination, PeerMessageKind Kind) {
+                                   const Endpoint &Destination,
+                                   PeerMessageKind Kind) {
   RequestKey Key{M.Service_, M.Request_, M.Flow_};
   if (Forwards_.find(Key))
     return;
-  if (Kind == PeerMessageKind::Forwarded && Destination == R.HomeAt_ && isSuspect(R.Home_))
+  if (Kind == PeerMessageKind::Forwarded && Destination == R.HomeAt_ &&
+      isSuspect(R.Home_))
     return rehome(M, R, ErrorKind::HomeUnreachable);
   ForwardRow Row;
   Row.Key_ = Key;
@@ -184,7 +189,8 @@
   Route R;
   if (thymewall::open(M.Route_, Options_.Keys_, M.Service_, M.Flow_, R) ==
       ErrorKind::None) {
-    if (Row.Kind_ == PeerMessageKind::Forwarded && Row.Destination_ == R.HomeAt_)
+    if (Row.Kind_ == PeerMessageKind::Forwarded &&
+        Row.Destination_ == R.HomeAt_)
       markSuspect(R.Home_);
     rehome(M, R, Reason);
   }
@@ -230,7 +236,8 @@
 /// Makes this process the home of a flow whose home or row is lost, and refuses
 /// the request with an unknown outcome. If the upstream deduplicates requests,
 /// sends it the request again instead.
-void Balancer::Impl::rehome(const Message &M, const Route &R, ErrorKind Reason) {
+void Balancer::Impl::rehome(const Message &M, const Route &R,
+                            ErrorKind Reason) {
   FlowKey Key{M.Service_, M.Flow_};
   std::uint32_t Index = resolveUpstream(R);
   bool Gone = Index == UpstreamTable::None;
@@ -267,7 +274,7 @@
 }
 
 void Balancer::Impl::acknowledge(const Message &M, const Endpoint &To,
-                             PeerMessageKind Kind) {
+                                 PeerMessageKind Kind) {
   sendToPeer(To, Kind, makeReply(M, M.Kind_));
 }
 
@@ -280,7 +287,7 @@
 }
 
 void Balancer::Impl::onForwarded(const Message &M, const Endpoint &From,
-                              PeerMessageKind Kind) {
+                                 PeerMessageKind Kind) {
   if (M.Kind_ == MessageKind::Open)
     return openFlow(M, false);
   Route R;
@@ -301,10 +308,12 @@
   bool IsDelegated = Kind == PeerMessageKind::Delegated;
   const Succession *S = findSuccession(R);
   bool IsSuccessor = S && successorOf(*S, {M.Service_, M.Flow_}).Incarnation_ ==
-                       Options_.Incarnation_;
+                              Options_.Incarnation_;
   bool AdoptsFlow = IsDelegated || (IsSuccessor && mayAdopt(M, R));
   bool Accepts = isHome(R) || AdoptsFlow;
-  acknowledge(M, From, Accepts ? PeerMessageKind::ForwardAccepted : PeerMessageKind::NotHome);
+  acknowledge(M, From,
+              Accepts ? PeerMessageKind::ForwardAccepted
+                      : PeerMessageKind::NotHome);
   if (isHome(R))
     return submit(M, R);
   if (AdoptsFlow)
--- a/src/balancer-impl.h
+++ b/src/balancer-impl.h
@@ -39,7 +39,7 @@
   Service Service_;
   std::vector<std::uint32_t> Selected_; ///< Indexes into the upstream table.
   double RetryTokens_ = 0;
-  EligibleSet Eligible_;            ///< Subset of `Selected_`, cached.
+  EligibleSet Eligible_;         ///< Subset of `Selected_`, cached.
   std::uint64_t Generation_ = 0; ///< That of `Eligible_`; 0 if it is stale.
 };
 
@@ -98,7 +98,8 @@
   void openFlow(Message M, bool MayForward);
   void placeFlow(const Message &M, ServiceState &S);
   const EligibleSet &eligibleUpstreams(ServiceState &S);
-  std::uint32_t chooseUpstream(const FlowKey &Key, const EligibleSet &Candidates) const;
+  std::uint32_t chooseUpstream(const FlowKey &Key,
+                               const EligibleSet &Candidates) const;
   void sendOpen(const RequestRow &Row);
   void retryOpen(RequestRow &Row, ErrorKind Reason);
   void handleRequest(const Message &M);
@@ -106,7 +107,7 @@
   void relayToUpstream(const Message &M, const Route &R);
   void closeFlow(const Message &M, const Route &R);
   bool dispatchRequest(const Message &M, const Route &R, std::uint32_t Upstream,
-              DispatchOptions Options);
+                       DispatchOptions Options);
   bool overloaded(const ServiceState &S, const UpstreamRow &U) const;
   bool readRoute(const Message &M, Route &R);
   std::uint32_t resolveUpstream(const Route &R);
@@ -115,8 +116,8 @@
   void drop(ErrorKind Reason);
   void refuse(const Message &M, ErrorKind Reason, Answer StrongestAnswer,
               Bytes NewRoute = {});
-  void refuseRow(const RequestRow &Row, ErrorKind Reason, Answer StrongestAnswer,
-                 WallTime RetryAt = {});
+  void refuseRow(const RequestRow &Row, ErrorKind Reason,
+                 Answer StrongestAnswer, WallTime RetryAt = {});
   void sendToUpstream(const Endpoint &To, const Message &M);
   void sendToPeer(const Endpoint &To, PeerMessageKind Kind, const Message &M);
 
@@ -139,14 +140,16 @@
   void releaseFlow(FlowRow &Row);
   SealedRoute sealRoute(const FlowRow &Row, Incarnation Upstream) const;
   void submit(const Message &M, const Route &R);
-  void submitToFlow(FlowRow &Row, const Message &M, const Route &R, RequestOrigin Origin);
+  void submitToFlow(FlowRow &Row, const Message &M, const Route &R,
+                    RequestOrigin Origin);
   bool hasNamedSuccessors() const;
-  void forwardToPeer(const Message &M, const Route &R, const Endpoint &Destination,
-            PeerMessageKind Kind);
+  void forwardToPeer(const Message &M, const Route &R,
+                     const Endpoint &Destination, PeerMessageKind Kind);
   void rehome(const Message &M, const Route &R, ErrorKind Reason);
   void acknowledge(const Message &M, const Endpoint &To, PeerMessageKind Kind);
   void onDuplicate(const Message &M, const Endpoint &From);
-  void onForwarded(const Message &M, const Endpoint &From, PeerMessageKind Kind);
+  void onForwarded(const Message &M, const Endpoint &From,
+                   PeerMessageKind Kind);
   void abandonForward(ForwardRow &Row, ErrorKind Reason);
   bool isSuspect(Incarnation Home) const;
   void markSuspect(Incarnation Home);
--- a/src/balancer-succession.cc
+++ b/src/balancer-succession.cc
@@ -67,7 +67,8 @@
 /// Forwards a request from a stopping home to its successor: as `Delegated` if
 /// this process didn't and won't run it, as `Duplicate` if this process or the
 /// successor received it before.
-void Balancer::Impl::delegate(const Message &M, const Route &R, PeerMessageKind Kind) {
+void Balancer::Impl::delegate(const Message &M, const Route &R,
+                              PeerMessageKind Kind) {
   const Successor &Next = successorOf(OwnSuccession_, {M.Service_, M.Flow_});
   forwardToPeer(M, R, Next.Data_, Kind);
 }
--- a/src/balancer-upstream.cc
+++ b/src/balancer-upstream.cc
@@ -41,7 +41,7 @@
 /// Counts a late answer and returns null if the datagram is of an earlier
 /// attempt or the request has ended.
 RequestRow *Balancer::Impl::findAttempt(const Message &M,
-                                      std::uint32_t Upstream) {
+                                        std::uint32_t Upstream) {
   RequestRow *Row = Requests_.find({M.Service_, M.Request_, M.Flow_});
   bool IsCurrentAttempt =
       Row && !Row->Completed_ &&
@@ -74,7 +74,8 @@
     return;
   Upstreams_.recordSuccess(Upstream);
   if (Options_.OnDelay_)
-    Options_.OnDelay_(M.Service_, RequestClass::Open, Now_.Mono_ - Row->SentAt_);
+    Options_.OnDelay_(M.Service_, RequestClass::Open,
+                      Now_.Mono_ - Row->SentAt_);
   Endpoint Caller = Row->Caller_;
   FlowKey Key{M.Service_, M.Flow_};
   FlowRow *Flow = Flows_.find(Key);
@@ -125,9 +126,10 @@
   ++Counters_.Answered_;
   Upstreams_.recordSuccess(Upstream);
   if (Options_.OnDelay_)
-    Options_.OnDelay_(
-        M.Service_, Row->AtMostOnce_ ? RequestClass::Once : RequestClass::Repeatable,
-        Now_.Mono_ - Row->SentAt_);
+    Options_.OnDelay_(M.Service_,
+                      Row->AtMostOnce_ ? RequestClass::Once
+                                       : RequestClass::Repeatable,
+                      Now_.Mono_ - Row->SentAt_);
   completeRequest(*Row);
 }
 
--- a/src/balancer.cc
+++ b/src/balancer.cc
@@ -43,7 +43,8 @@
 /// Detects a suspension of the process. Called for every event, because the
 /// first one after a suspension may be a datagram queued in a socket.
 void Balancer::Impl::detectLateWake() {
-  if (Now_.Mono_ < NextTickDue_ + MaxTickDelay || !isEnabled(Mechanism::LateWake))
+  if (Now_.Mono_ < NextTickDue_ + MaxTickDelay ||
+      !isEnabled(Mechanism::LateWake))
     return;
   NextTickDue_ = Now_.Mono_ + TickInterval;
   ++Counters_.LateWakes_;
@@ -57,7 +58,8 @@
 }
 
 bool Balancer::Impl::ready() const {
-  return Declaration_ != nullptr && (DeclarationFresh_ || Now_.Mono_ >= RereadDeadline_);
+  return Declaration_ != nullptr &&
+         (DeclarationFresh_ || Now_.Mono_ >= RereadDeadline_);
 }
 
 ServiceState *Balancer::Impl::serviceState(ServiceId Id) {
@@ -132,8 +134,10 @@
 
 void Balancer::Impl::on(const HeartbeatReceived &E) {
   Peer Updated{E.Id_, E.Data_, E.Incarnation_, E.Leaving_,
-            Now_.Mono_ + PeerTimeout};
-  auto IsSameHome = [&](const SuspectHome &S) { return S.Home_ == E.Incarnation_; };
+               Now_.Mono_ + PeerTimeout};
+  auto IsSameHome = [&](const SuspectHome &S) {
+    return S.Home_ == E.Incarnation_;
+  };
   SuspectHomes_.erase(
       std::remove_if(SuspectHomes_.begin(), SuspectHomes_.end(), IsSameHome),
       SuspectHomes_.end());
@@ -239,7 +243,8 @@
   S.Flows_ = Flows_.size();
   S.Requests_ = Requests_.size();
   S.PendingForwards_ = Forwards_.size();
-  S.MemoryBytes_ = Flows_.memoryBytes() + Requests_.memoryBytes() + Forwards_.memoryBytes();
+  S.MemoryBytes_ =
+      Flows_.memoryBytes() + Requests_.memoryBytes() + Forwards_.memoryBytes();
   S.Now_ = Now_.Mono_;
   S.Upstreams_ = Upstreams_.rows();
   return S;
--- a/src/member-list.cc
+++ b/src/member-list.cc
@@ -55,7 +55,8 @@
 }
 
 bool MemberList::isDataHallLost(MonoTime Now, const std::string &Hall) const {
-  if (Members_.size() > MaxTrackedMembers || !isEnabled(Mechanism::IsolatedHallWithdrawal))
+  if (Members_.size() > MaxTrackedMembers ||
+      !isEnabled(Mechanism::IsolatedHallWithdrawal))
     return false;
   std::map<std::string, HallCount> Halls;
   Halls[Hall] = {1, 1};
@@ -105,8 +106,8 @@
   std::vector<const Record *> Records;
   for (const auto &[Name, Known] : Members_)
     Records.push_back(&Known);
-  auto Middle =
-      Records.begin() + static_cast<long>(std::min(FirstReaderCount, Records.size()));
+  auto Middle = Records.begin() +
+                static_cast<long>(std::min(FirstReaderCount, Records.size()));
   std::partial_sort(
       Records.begin(), Middle, Records.end(),
       [](const Record *A, const Record *B) { return A->Score_ < B->Score_; });
@@ -138,7 +139,7 @@
   if (tracksAllMembers() || Before < FirstReaderCount)
     return Before;
   auto Estimate = static_cast<std::size_t>(balancersPerScore() *
-                                         static_cast<double>(Score));
+                                           static_cast<double>(Score));
   return std::max(Before, Estimate);
 }
 
--- a/src/news-message.cc
+++ b/src/news-message.cc
@@ -8,7 +8,12 @@
 
 using Json = nlohmann::json;
 
-enum class Type : std::uint8_t { Heartbeat = 1, StateRequest, StateUpdate, Warning };
+enum class Type : std::uint8_t {
+  Heartbeat = 1,
+  StateRequest,
+  StateUpdate,
+  Warning
+};
 
 Json toJson(const ListParts &Parts) {
   std::vector<std::uint8_t> Bytes;
@@ -57,27 +62,17 @@
   Json Members = Json::array();
   for (const Member &Other : M.Members_)
     Members.push_back(toJson(Other));
-  return {raw(Type::Heartbeat),
-          toJson(M.Sender_),
-          M.Leaving_,
-          M.Routing_,
-          M.Through_,
-          M.StateAgeMs_,
-          M.ReaderScore_,
-          M.ReaderAgeMs_,
-          M.Sequence_,
-          M.EchoedSequence_,
-          M.UptimeMs_,
-          Members,
-          M.UpstreamCount_,
-          toJson(M.Parts_),
-          M.FirstAliveScore_,
+  return {raw(Type::Heartbeat), toJson(M.Sender_), M.Leaving_,
+          M.Routing_,           M.Through_,        M.StateAgeMs_,
+          M.ReaderScore_,       M.ReaderAgeMs_,    M.Sequence_,
+          M.EchoedSequence_,    M.UptimeMs_,       Members,
+          M.UpstreamCount_,     toJson(M.Parts_),  M.FirstAliveScore_,
           M.FirstAliveAgeMs_};
 }
 
 Json toJson(const StateRequest &M, MonoTime) {
-  return Json::array({raw(Type::StateRequest), M.Routing_, M.Through_, M.IncludeEnded_,
-                      toJson(M.Parts_), toJson(M.Digests_)});
+  return Json::array({raw(Type::StateRequest), M.Routing_, M.Through_,
+                      M.IncludeEnded_, toJson(M.Parts_), toJson(M.Digests_)});
 }
 
 Json toJson(const RoutingTable &Table) {
@@ -237,8 +232,8 @@
     return heartbeatFrom(J);
   case Type::StateRequest:
     return StateRequest{J.at(1).get<Version>(), J.at(2).get<Revision>(),
-                      J.at(3).get<bool>(), partsFrom(J.at(4)),
-                      digestsFrom(J.at(5))};
+                        J.at(3).get<bool>(), partsFrom(J.at(4)),
+                        digestsFrom(J.at(5))};
   case Type::StateUpdate:
     return newsFrom(J, Now);
   case Type::Warning:
@@ -257,7 +252,8 @@
   return Result;
 }
 
-ErrorKind decodeGossip(const std::string &Bytes, MonoTime Now, GossipMessage &M) {
+ErrorKind decodeGossip(const std::string &Bytes, MonoTime Now,
+                       GossipMessage &M) {
   if (Bytes.size() > MaxGossipMessageBytes)
     return ErrorKind::Oversized;
   try {
--- a/src/news.cc
+++ b/src/news.cc
@@ -18,7 +18,7 @@
 } // namespace
 
 void GossipNode::Impl::received(MonoTime Now, LinkId Link,
-                                  const GossipMessage &M) {
+                                const GossipMessage &M) {
   auto Known = Links_.find(Link);
   if (Known == Links_.end())
     return;
@@ -56,7 +56,7 @@
 }
 
 void GossipNode::Impl::acceptConfirmation(MonoTime Now, const GossipLink &L,
-                                   const PeerHeartbeat &M) {
+                                          const PeerHeartbeat &M) {
   if (M.StateAgeMs_ == PeerHeartbeat::UnknownAgeMs)
     return;
   Version OwnVersion = Routing_ ? Routing_->Version_ : 0;
@@ -68,7 +68,8 @@
   }
   MonoTime AsOf = Now - std::chrono::milliseconds(M.StateAgeMs_);
   if (M.ReaderAgeMs_ != PeerHeartbeat::UnknownAgeMs)
-    noteReader(M.ReaderScore_, Now - std::chrono::milliseconds(M.ReaderAgeMs_), Now);
+    noteReader(M.ReaderScore_, Now - std::chrono::milliseconds(M.ReaderAgeMs_),
+               Now);
   confirm(Now, AsOf);
   // Sent at once: a lower reader score that waited for the next confirmation at
   // each hop would expire after three hops, and two balancers would go on
@@ -78,14 +79,14 @@
 }
 
 void GossipNode::Impl::noteReader(std::uint64_t Score, MonoTime At,
-                                    MonoTime Now) {
+                                  MonoTime Now) {
   FirstReader_.update(Score, At, Now, TakeoverAge);
   if (FirstReader_.Score_ < Score_)
     IsReader_ = false;
 }
 
 void GossipNode::Impl::noteAlive(MonoTime Now, std::uint64_t Score,
-                                    MonoTime At) {
+                                 MonoTime At) {
   bool OthersFirst = FirstAlive_.Score_ < Score_;
   FirstAlive_.update(Score, At, Now, LinkTimeout);
   if (OthersFirst && FirstAlive_.Score_ >= Score_)
@@ -95,13 +96,14 @@
 /// A reported sign of life counts only if the echo proves the message recent:
 /// balancers on the other side of a network partition must not wait for it.
 void GossipNode::Impl::acceptFirstAlive(MonoTime Now, const GossipLink &L,
-                                    const PeerHeartbeat &M) {
+                                        const PeerHeartbeat &M) {
   bool Recent = Now - L.sentAt(M.EchoedSequence_) <= MaxEchoAge;
   if (!Recent || M.Leaving_)
     return;
   noteAlive(Now, detail::readerScore(M.Sender_.Name_), Now);
   if (M.FirstAliveAgeMs_ != PeerHeartbeat::UnknownAgeMs)
-    noteAlive(Now, M.FirstAliveScore_, Now - std::chrono::milliseconds(M.FirstAliveAgeMs_));
+    noteAlive(Now, M.FirstAliveScore_,
+              Now - std::chrono::milliseconds(M.FirstAliveAgeMs_));
   // Forwarded at once: if it waited for the next heartbeat at each hop, it
   // would expire after three hops.
   bool Fresher = FirstAlive_.At_ - AnnouncedAliveAt_ > AliveUpdateStep;
@@ -119,7 +121,7 @@
 }
 
 void GossipNode::Impl::requestIfBehind(MonoTime Now, LinkId Link,
-                                     const PeerHeartbeat &M) {
+                                       const PeerHeartbeat &M) {
   Version OwnVersion = Routing_ ? Routing_->Version_ : 0;
   bool Behind = OwnVersion < M.Routing_ || List_.through() < M.Through_;
   GossipLink &L = Links_[Link];
@@ -127,8 +129,9 @@
   L.PeerUpstreamCount_ = M.UpstreamCount_;
   if (startsFromParts(L))
     return requestParts(Now, Link);
-  bool IncludeEnded = EndedResponses_ < MaxEndedRequests && !L.RequestedEnded_ &&
-                    detail::isEnabled(detail::Mechanism::EndedUpstreams);
+  bool IncludeEnded = EndedResponses_ < MaxEndedRequests &&
+                      !L.RequestedEnded_ &&
+                      detail::isEnabled(detail::Mechanism::EndedUpstreams);
   if ((!Behind && !IncludeEnded) || Now < NextRequestAt_)
     return;
   NextRequestAt_ = Now + RequestTimeout;
@@ -137,10 +140,12 @@
   L.PendingRequests_.push_back(IncludeEnded);
   Hooks_.Send_(
       Link,
-      StateRequest{OwnVersion, List_.through(), IncludeEnded, {}, requestDigests()});
+      StateRequest{
+          OwnVersion, List_.through(), IncludeEnded, {}, requestDigests()});
 }
 
-void GossipNode::Impl::handle(MonoTime Now, LinkId Link, const StateRequest &M) {
+void GossipNode::Impl::handle(MonoTime Now, LinkId Link,
+                              const StateRequest &M) {
   StateUpdate Response;
   Response.StateAgeMs_ = stateAgeMs(Now);
   if (Routing_ && Routing_->Version_ > M.Routing_)
@@ -186,13 +191,14 @@
 /// Sends a warning on all links except its source. Returns false if it was sent
 /// recently or its kind has reached its limit.
 bool GossipNode::Impl::forwardWarning(MonoTime Now, const UpstreamWarning &M,
-                              const LinkId *From) {
+                                      const LinkId *From) {
   auto Known = RecentWarnings_.find(M);
   bool Repeated = Known != RecentWarnings_.end() && Now < Known->second;
   auto SameKind = [&M](const auto &Item) {
     return Item.first.Kind_ == M.Kind_;
   };
-  auto SameKindCount = std::count_if(RecentWarnings_.begin(), RecentWarnings_.end(), SameKind);
+  auto SameKindCount =
+      std::count_if(RecentWarnings_.begin(), RecentWarnings_.end(), SameKind);
   if (!detail::isEnabled(detail::Mechanism::PeerWarnings) || Repeated ||
       static_cast<std::size_t>(SameKindCount) >= MaxWarningsPerInterval)
     return false;
@@ -207,8 +213,8 @@
 }
 
 bool GossipNode::Impl::apply(MonoTime Now, const RoutingTablePtr &Routing,
-                               const UpstreamBatch &Upstreams,
-                               const EvacuationBatch &Evacuations) {
+                             const UpstreamBatch &Upstreams,
+                             const EvacuationBatch &Evacuations) {
   if (Routing && (!Routing_ || Routing->Version_ > Routing_->Version_)) {
     Routing_ = Routing;
     Hooks_.OnRouting_(Routing_);
@@ -234,7 +240,8 @@
     Hooks_.OnEvacuations_(Changes);
 }
 
-void GossipNode::Impl::staleListRead(MonoTime Now, const ConfigResponse &Response) {
+void GossipNode::Impl::staleListRead(MonoTime Now,
+                                     const ConfigResponse &Response) {
   ListParts Parts = Response.Parts_.value_or(allParts());
   bool Missing = hasMissingParts(Parts);
   apply(Now, Response.Routing_, Missing ? Response.Batch_ : UpstreamBatch{},
@@ -242,8 +249,9 @@
   addParts(Now, Parts);
 }
 
-bool GossipNode::Impl::readSucceeded(MonoTime Now, const ConfigResponse &Response,
-                                  MonoTime AsOf) {
+bool GossipNode::Impl::readSucceeded(MonoTime Now,
+                                     const ConfigResponse &Response,
+                                     MonoTime AsOf) {
   Revision Before = List_.through();
   if (!apply(Now, Response.Routing_, Response.Batch_, Response.Evacuations_))
     return false;
@@ -288,7 +296,8 @@
     return std::max(ReadPauseUntil_, RunningSince_ + StartupReadStep * Rank);
   }
   bool OtherReads = FirstReader_.Score_ < Score_;
-  MonoTime ConfirmedAt = OtherReads ? std::max(ConfirmedAsOf_, FirstReader_.At_) : ConfirmedAsOf_;
+  MonoTime ConfirmedAt =
+      OtherReads ? std::max(ConfirmedAsOf_, FirstReader_.At_) : ConfirmedAsOf_;
   return std::max(ReadPauseUntil_, takeoverTime(ConfirmedAt));
 }
 
@@ -303,10 +312,12 @@
   MonoTime From = ConfirmedAt + TakeoverAge;
   if (Links_.empty())
     return From;
-  bool FirstInPartition = FirstAlive_.Score_ >= Score_ && !Members_.tracksAllMembers();
+  bool FirstInPartition =
+      FirstAlive_.Score_ >= Score_ && !Members_.tracksAllMembers();
   if (FirstInPartition)
     return std::max(From, FirstAliveSince_ + partitionJitter());
-  std::size_t Steps = Members_.tracksAllMembers() ? std::min(Rank, MaxTakeoverSteps) : Rank;
+  std::size_t Steps =
+      Members_.tracksAllMembers() ? std::min(Rank, MaxTakeoverSteps) : Rank;
   return From + TakeoverStep * static_cast<Micros::rep>(Steps);
 }
 
@@ -330,9 +341,7 @@
 void GossipNode::opened(MonoTime Now, LinkId Link, bool Outbound) {
   Impl_->opened(Now, Link, Outbound);
 }
-void GossipNode::closed(MonoTime Now, LinkId Link) {
-  Impl_->closed(Now, Link);
-}
+void GossipNode::closed(MonoTime Now, LinkId Link) { Impl_->closed(Now, Link); }
 void GossipNode::connectFailed(MonoTime Now, const Endpoint &Control) {
   Impl_->connectFailed(Now, Control);
 }
@@ -340,7 +349,7 @@
   Impl_->received(Now, Link, M);
 }
 bool GossipNode::readSucceeded(MonoTime Now, const ConfigResponse &Response,
-                            MonoTime AsOf) {
+                               MonoTime AsOf) {
   return Impl_->readSucceeded(Now, Response, AsOf);
 }
 void GossipNode::warn(MonoTime Now, const UpstreamWarning &M) {
--- a/src/packet-balancer-upstreams.cc
+++ b/src/packet-balancer-upstreams.cc
@@ -38,7 +38,7 @@
     removeFromAddress(It->second);
   std::uint32_t Index =
       Upstreams_.addOrUpdate(static_cast<UpstreamId>(UpstreamCookie), Entry.At_,
-                            Entry.Slots_, Entry.WarmAt_);
+                             Entry.Slots_, Entry.WarmAt_);
   if (UpstreamStates_.size() <= Index)
     UpstreamStates_.resize(Index + 1);
   IndexOfCookie_[UpstreamCookie] = Index;
--- a/src/packet-balancer.cc
+++ b/src/packet-balancer.cc
@@ -160,7 +160,7 @@
 }
 
 const EligibleSet &PacketBalancer::Impl::eligible(ServiceId Service,
-                                               ServiceState &State) {
+                                                  ServiceState &State) {
   Upstreams_.expireEjections(Now_);
   bool Current = State.Generation_ == Upstreams_.generation() &&
                  State.Routing_ == Routing_->Version_ && Now_ < State.WarmAt_;
--- a/src/status-page.cc
+++ b/src/status-page.cc
@@ -13,21 +13,22 @@
 std::vector<Number> numbers(const StatusReport &R) {
   const Counters &C = R.Counters_;
   static const char *const StepNames[] = {"route", "home", "passed", "refused"};
-  std::vector<Number> Result = {{"flows", R.Status_.Flows_},
-                                {"requests_in_progress", R.Status_.Requests_},
-                                {"passes_in_progress", R.Status_.PendingForwards_},
-                                {"table_bytes", R.Status_.MemoryBytes_},
-                                {"opens", C.Opens_},
-                                {"opened", C.Opened_},
-                                {"requests", C.Requests_},
-                                {"answered", C.Answered_},
-                                {"refused_not_run", C.NotRun_},
-                                {"outcome_unknown", C.OutcomeUnknown_},
-                                {"open_retries", C.Retries_},
-                                {"rehomed", C.Rehomed_},
-                                {"moved", C.Moved_},
-                                {"adopted", C.Adopted_},
-                                {"late_wakes", C.LateWakes_}};
+  std::vector<Number> Result = {
+      {"flows", R.Status_.Flows_},
+      {"requests_in_progress", R.Status_.Requests_},
+      {"passes_in_progress", R.Status_.PendingForwards_},
+      {"table_bytes", R.Status_.MemoryBytes_},
+      {"opens", C.Opens_},
+      {"opened", C.Opened_},
+      {"requests", C.Requests_},
+      {"answered", C.Answered_},
+      {"refused_not_run", C.NotRun_},
+      {"outcome_unknown", C.OutcomeUnknown_},
+      {"open_retries", C.Retries_},
+      {"rehomed", C.Rehomed_},
+      {"moved", C.Moved_},
+      {"adopted", C.Adopted_},
+      {"late_wakes", C.LateWakes_}};
   for (std::size_t I = 0; I < C.ResolvedBy_.size(); ++I)
     Result.emplace_back(std::string("resolved_by_") + StepNames[I],
                         C.ResolvedBy_[I]);
@@ -78,7 +79,8 @@
   std::string Text;
   for (const Number &N : numbers(R))
     Text += metricLine(N.first, static_cast<std::int64_t>(N.second));
-  Text += metricLine("version", static_cast<std::int64_t>(R.Status_.DeclarationVersion_));
+  Text += metricLine("version",
+                     static_cast<std::int64_t>(R.Status_.DeclarationVersion_));
   return Text + R.Delays_->prometheus("thymewall_delay_seconds");
 }
 
--- a/src/upstream-table.cc
+++ b/src/upstream-table.cc
@@ -85,7 +85,9 @@
   return {First, At(Slot < Begin ? Slot : Slot + Width)};
 }
 
-std::size_t chooseByHash(const ChooserInput &C) { return drawCandidates(C).first; }
+std::size_t chooseByHash(const ChooserInput &C) {
+  return drawCandidates(C).first;
+}
 
 std::size_t chooseByOwnFlows(const ChooserInput &C) {
   return chooseLessLoaded(C, [](const UpstreamRow &R) { return R.OwnFlows_; });
@@ -100,7 +102,8 @@
 }
 
 std::size_t chooseByReportedFlows(const ChooserInput &C) {
-  return chooseLessLoaded(C, [](const UpstreamRow &R) { return R.ReportedFlows_; });
+  return chooseLessLoaded(
+      C, [](const UpstreamRow &R) { return R.ReportedFlows_; });
 }
 
 void UpstreamTable::declare(const Declaration &D, MonoTime Now) {
@@ -119,7 +122,7 @@
 }
 
 std::uint32_t UpstreamTable::addOrUpdate(UpstreamId Id, const Endpoint &At,
-                                        std::uint32_t Slots, MonoTime WarmAt) {
+                                         std::uint32_t Slots, MonoTime WarmAt) {
   std::uint32_t Index = findById(Id);
   if (Index == None)
     Index = allocateRow(Id);
@@ -177,7 +180,8 @@
   return Index;
 }
 
-void UpstreamTable::recordIncarnation(std::uint32_t Index, Incarnation Seen, MonoTime Now) {
+void UpstreamTable::recordIncarnation(std::uint32_t Index, Incarnation Seen,
+                                      MonoTime Now) {
   UpstreamRow &Row = Rows_[Index];
   if (Row.Incarnation_ == Seen)
     return;
@@ -191,7 +195,8 @@
   Rows_[Index].ConsecutiveEjections_ = 0;
 }
 
-void UpstreamTable::recordFailure(std::uint32_t Index, MonoTime Now, double Jitter) {
+void UpstreamTable::recordFailure(std::uint32_t Index, MonoTime Now,
+                                  double Jitter) {
   UpstreamRow &Row = Rows_[Index];
   if (++Row.ConsecutiveFailures_ < FailureThreshold_)
     return;
@@ -200,10 +205,10 @@
   bool Ejected = Row.EjectedUntil_ > Now;
   if (!Ejected || Row.ConsecutiveEjections_ == 0)
     ++Row.ConsecutiveEjections_;
-  std::uint32_t Multiplier =
-      std::min(MaxEjectionMultiplier, 1U << std::min(Row.ConsecutiveEjections_ - 1, 8U));
-  auto Duration =
-      std::chrono::duration_cast<Micros>(BaseEjectionTime * (0.5 + Jitter) * Multiplier);
+  std::uint32_t Multiplier = std::min(
+      MaxEjectionMultiplier, 1U << std::min(Row.ConsecutiveEjections_ - 1, 8U));
+  auto Duration = std::chrono::duration_cast<Micros>(
+      BaseEjectionTime * (0.5 + Jitter) * Multiplier);
   eject(Index, Now + Duration);
 }
 
@@ -216,7 +221,8 @@
 }
 
 void UpstreamTable::beginSlowStart(std::uint32_t Index, MonoTime Start) {
-  Rows_[Index].WarmAt_ = std::max(Rows_[Index].WarmAt_, Start + SlowStartDuration);
+  Rows_[Index].WarmAt_ =
+      std::max(Rows_[Index].WarmAt_, Start + SlowStartDuration);
 }
 
 void UpstreamTable::setDead(std::uint32_t Index, bool Dead) {
@@ -258,7 +264,7 @@
 }
 
 void UpstreamTable::selectEligible(const std::vector<std::uint32_t> &Selected,
-                                MonoTime Now, EligibleSet &Into) const {
+                                   MonoTime Now, EligibleSet &Into) const {
   auto SelectIf = [&](auto Predicate) {
     Into.clear();
     for (std::uint32_t Index : Selected)
--- a/test/answer-evidence-test.cc
+++ b/test/answer-evidence-test.cc
@@ -61,7 +61,9 @@
   void setErrorShare(std::uint64_t Upstream, double Share) {
     ErrorShare_[Upstream] = Share;
   }
-  void setSizeModel(SizeModel AnswerSize) { AnswerSize_ = std::move(AnswerSize); }
+  void setSizeModel(SizeModel AnswerSize) {
+    AnswerSize_ = std::move(AnswerSize);
+  }
 
   /// Sends requests for some time; returns the number of errors.
   std::size_t run(Micros For, double PerSecond) {
@@ -137,22 +139,24 @@
   std::mt19937_64 Random(3);
   for (std::uint32_t I = 0; I < AnswerSizes::MinSamples - 1; ++I)
     Sizes.recordAndCheckShort(Address, metadataSize(Random));
-  CHECK_FALSE(Sizes.recordAndCheckShort(Address, ErrorBytes)); // too few samples
+  CHECK_FALSE(
+      Sizes.recordAndCheckShort(Address, ErrorBytes)); // too few samples
   for (std::uint32_t I = 0; I < 1000; ++I)
     CHECK_FALSE(Sizes.recordAndCheckShort(Address, metadataSize(Random)));
   CHECK(Sizes.recordAndCheckShort(Address, ErrorBytes));
-  CHECK_FALSE(Sizes.recordAndCheckShort(Endpoint::v4(0xc6120001, 80), ErrorBytes));
+  CHECK_FALSE(
+      Sizes.recordAndCheckShort(Endpoint::v4(0xc6120001, 80), ErrorBytes));
 }
 
-TEST_CASE(
-    "the baseline ignores a fifth of errors but follows a change of all "
+TEST_CASE("the baseline ignores a fifth of errors but follows a change of all "
           "answers") {
   AnswerSizes Sizes;
   std::mt19937_64 Random(3);
   for (int I = 0; I < 1000; ++I)
     Sizes.recordAndCheckShort(Address, metadataSize(Random));
   for (int I = 0; I < 5000; ++I)
-    Sizes.recordAndCheckShort(Address, I % 5 == 0 ? ErrorBytes : metadataSize(Random));
+    Sizes.recordAndCheckShort(Address,
+                              I % 5 == 0 ? ErrorBytes : metadataSize(Random));
   CHECK(Sizes.recordAndCheckShort(Address, ErrorBytes));
   for (int I = 0; I < 300; ++I)
     Sizes.recordAndCheckShort(Address, ErrorBytes + I % 20);
@@ -163,7 +167,8 @@
   AnswerSizes Sizes;
   std::mt19937_64 Random(3);
   for (int I = 0; I < 2000; ++I)
-    Sizes.recordAndCheckShort(Address, I % 50 == 0 ? ErrorBytes : metadataSize(Random));
+    Sizes.recordAndCheckShort(Address,
+                              I % 50 == 0 ? ErrorBytes : metadataSize(Random));
   CHECK_FALSE(Sizes.recordAndCheckShort(Address, ErrorBytes));
 }
 
@@ -224,7 +229,8 @@
   }
 }
 
-TEST_CASE("no more upstreams are ejected once all of a service answers with errors") {
+TEST_CASE(
+    "no more upstreams are ejected once all of a service answers with errors") {
   for (const Size &S : Fleets) {
     CAPTURE(S.Balancers_);
     Fleet F(S.Balancers_, S.Upstreams_, metadataSize);
--- a/test/cold-admission-test.cc
+++ b/test/cold-admission-test.cc
@@ -14,8 +14,9 @@
 namespace {
 
 constexpr MembershipModel Memberships[] = {
-    MembershipModel::Complete, MembershipModel::Halved,  MembershipModel::Partitioned,
-    MembershipModel::Added, MembershipModel::Partial, MembershipModel::Restarted};
+    MembershipModel::Complete,    MembershipModel::Halved,
+    MembershipModel::Partitioned, MembershipModel::Added,
+    MembershipModel::Partial,     MembershipModel::Restarted};
 
 struct Upstreams {
   std::size_t Warm_;
@@ -59,8 +60,7 @@
 
 } // namespace
 
-TEST_CASE(
-    "new flows to a cold upstream stay within its limit in any second, "
+TEST_CASE("new flows to a cold upstream stay within its limit in any second, "
           "whichever peers the balancers know") {
   for (std::size_t Balancers : {8U, 90U, 300U})
     for (double PerSecond : {2.0, 10.0, 50.0})
@@ -107,7 +107,8 @@
   CHECK_FALSE(Cold.admits(at(0ms), Incarnation{1}, Limit));
 }
 
-TEST_CASE("exactly one of two balancers that know each other owns a limit of 2") {
+TEST_CASE(
+    "exactly one of two balancers that know each other owns a limit of 2") {
   ColdLimit Limit{2, 1.5, 5};
   ColdAdmission One;
   ColdAdmission Two;
--- a/test/news-test.cc
+++ b/test/news-test.cc
@@ -23,7 +23,8 @@
 
 } // namespace
 
-TEST_CASE("one member reads for all, and changes reach all members within a second") {
+TEST_CASE(
+    "one member reads for all, and changes reach all members within a second") {
   for (std::size_t Size : {std::size_t{1}, std::size_t{8}, std::size_t{90}}) {
     GossipFleet Fleet(Size);
     Fleet.run(5s);
@@ -72,8 +73,7 @@
   CHECK(Fleet.allKnow(R));
 }
 
-TEST_CASE(
-    "a refused third of a large fleet gets all changes from the rest") {
+TEST_CASE("a refused third of a large fleet gets all changes from the rest") {
   GossipFleet Fleet(90, 5);
   for (std::size_t I = 0; I < 90; I += 3)
     Fleet.setRefused(I, true);
@@ -188,7 +188,8 @@
       if (I != 3)
         CHECK(Fleet.warnings(I) == std::vector<UpstreamWarning>{Dead});
     Fleet.run(7s);
-    Fleet.gossip(5).warn(Fleet.clock(), Dead); // after the interval it is sent again
+    Fleet.gossip(5).warn(Fleet.clock(),
+                         Dead); // after the interval it is sent again
     Fleet.run(8s);
     CHECK(Fleet.warnings(3).size() == 1);
   }
@@ -199,12 +200,13 @@
   Fleet.run(5s);
   for (std::uint64_t I = 1; I <= 2 * GossipNode::MaxWarningsPerInterval; ++I)
     Fleet.gossip(0).warn(Fleet.clock(),
-                       {Incarnation{I}, UpstreamWarning::Kind::Stalled});
+                         {Incarnation{I}, UpstreamWarning::Kind::Stalled});
   Fleet.run(5s + 100ms);
   CHECK(Fleet.warnings(1).size() == GossipNode::MaxWarningsPerInterval);
 }
 
-TEST_CASE("a warning survives encoding, and one of an unknown kind is rejected") {
+TEST_CASE(
+    "a warning survives encoding, and one of an unknown kind is rejected") {
   using Kind = UpstreamWarning::Kind;
   GossipMessage Out;
   std::string Bytes;
--- a/test/silence-fleet.cc
+++ b/test/silence-fleet.cc
@@ -25,7 +25,7 @@
 } // namespace
 
 StallFleet::StallFleet(std::size_t Hosts, std::size_t Upstreams,
-                           std::size_t RequestsPerSecond)
+                       std::size_t RequestsPerSecond)
     : Hosts_(Hosts), Upstreams_(Upstreams),
       RequestInterval_(Micros(1s) / static_cast<long>(RequestsPerSecond)) {
   for (std::size_t Which = 0; Which < Hosts; ++Which)
--- a/test/upstream-check-test.cc
+++ b/test/upstream-check-test.cc
@@ -30,8 +30,7 @@
   CHECK(B.Checks_ == std::vector<std::uint64_t>{First});
 }
 
-TEST_CASE(
-    "a check that proves an upstream dead resets its open flows and no "
+TEST_CASE("a check that proves an upstream dead resets its open flows and no "
           "others") {
   RecordingBalancer B;
   std::set<std::uint16_t> Lost;
@@ -109,7 +108,8 @@
   CHECK(B.Checks_ == std::vector<std::uint64_t>{Dead});
 }
 
-TEST_CASE("flows that reach a dead upstream later are reset by the next check") {
+TEST_CASE(
+    "flows that reach a dead upstream later are reset by the next check") {
   RecordingBalancer B;
   std::uint64_t Dead = B.request(1);
   B.checked(370ms, Dead, CheckResult::Dead, 210ms);
--- a/test/upstream-stall-test.cc
+++ b/test/upstream-stall-test.cc
@@ -159,7 +159,8 @@
   CHECK(B.Resets_.empty());
 }
 
-TEST_CASE("it takes two requests to eject an upstream while the fabric moves flows") {
+TEST_CASE(
+    "it takes two requests to eject an upstream while the fabric moves flows") {
   RecordingBalancer B;
   B.B_.onBalancerJoined(at(900ms)); // flows move until 3.4 s
   std::uint64_t Up = B.request(1);
