--- a/bench/core-bench.cc
+++ b/bench/core-bench.cc
@@ -20,7 +20,7 @@
 const Endpoint Caller = Endpoint::v4(1, 1000);
 const ServiceId Index = static_cast<ServiceId>(nameId("index"));
 
-ZoneClock noZones() {
+TimeZoneClock noZones() {
   return [](const std::string &, WallTime) { return LocalMinute{}; };
 }
 
@@ -130,7 +130,7 @@
               WallTime(std::chrono::hours(1))};
   Message Up_;
   Endpoint UpAt_;
-  SealedRoute Route_;
+  SignedRoute Route_;
 };
 
 void decisions() {
@@ -158,7 +158,7 @@
   M.Kind_ = Kind::Request;
   M.Flow_ = FlowId{0x123456789abcdef};
   M.Payload_ = {Payload, sizeof Payload};
-  SealedRoute R = seal({}, Secret);
+  SignedRoute R = signRoute({}, Secret);
   M.Route_ = R.bytes();
   std::size_t Size = 0;
   double Encode = nanoseconds(1'000'000, [&](std::size_t I) {
--- a/bench/data-path.cc
+++ b/bench/data-path.cc
@@ -203,7 +203,7 @@
       if (Route_.Size_ != 0)
         return;
       // The bare relay brings no route back: the same bytes stand in.
-      Route_ = seal({}, Secret);
+      Route_ = signRoute({}, Secret);
       if (M.Kind_ == Kind::Opened)
         std::copy_n(M.Route_.Data_, M.Route_.Size_, Route_.Bytes_.begin());
       fill();
@@ -252,7 +252,7 @@
   bool Repeatable_;
   std::array<Clock::time_point, 4096> SentAt_{};
   std::vector<Micros> Delays_;
-  SealedRoute Route_;
+  SignedRoute Route_;
   std::uint32_t Number_ = 0;
   std::atomic<std::uint64_t> Done_{0};
   Clock::time_point Last_;
--- a/include/thymewall/balancer.h
+++ b/include/thymewall/balancer.h
@@ -12,7 +12,7 @@
 ///                    .incarnation(Incarnation{42})
 ///                    .seed(1)
 ///                    .keys({Secret, Secret})
-///                    .zones(zoneClock())
+///                    .zones(timeZoneClock())
 ///                    .build();
 ///   ActionSink Sink = [](const Action &A) { ... };
 ///   B.handle(Now, DeclarationRead{Declaration}, Sink);
@@ -162,7 +162,7 @@
   std::uint64_t Seed_ = 0;
   KeyPair Keys_{};
   Chooser Chooser_ = chooseTwoOwn;
-  ZoneClock Zones_;
+  TimeZoneClock Zones_;
   DelayHook OnDelay_;
   std::uint32_t FlowBound_ = 1'000'000;
   std::uint32_t RequestBound_ = 100'000;
@@ -204,7 +204,7 @@
   BalancerBuilder &seed(std::uint64_t Value);
   BalancerBuilder &keys(const KeyPair &Value);
   BalancerBuilder &chooser(Chooser Value);
-  BalancerBuilder &zones(ZoneClock Value);
+  BalancerBuilder &zones(TimeZoneClock Value);
   BalancerBuilder &onDelay(DelayHook Value);
   BalancerBuilder &flowBound(std::uint32_t Value);
   Balancer build() const;
--- a/include/thymewall/control.h
+++ b/include/thymewall/control.h
@@ -14,7 +14,7 @@
 
 /// The documents that the users publish and balancers spread.
 enum class DocumentKind : std::uint8_t { Declaration, Hosts };
-constexpr std::size_t DocumentKinds = 2;
+constexpr std::size_t DocumentKindCount = 2;
 
 /// A document's place in the order of documents of its kind.
 struct DocumentVersion {
@@ -27,7 +27,7 @@
 inline bool operator<(const DocumentVersion &A, const DocumentVersion &B) {
   return std::tie(A.Version_, A.Digest_) < std::tie(B.Version_, B.Digest_);
 }
-using DocumentVersions = std::array<DocumentVersion, DocumentKinds>;
+using DocumentVersions = std::array<DocumentVersion, DocumentKindCount>;
 
 /// When a balancer of the sender's data hall last had an answer from the
 /// platform, as far as the sender has heard.
@@ -45,28 +45,28 @@
   bool Leaving_ = false;
   DocumentVersions Versions_{};
   std::vector<WatcherAge> Watchers_; ///< The freshest few.
-  std::uint64_t Answers_ = 0;        ///< The `FreshnessAsked` that it answers.
+  std::uint64_t RefreshId_ = 0; ///< The `HeartbeatRequest` that it answers.
 };
 /// Asks for a heartbeat made after this was sent.
-struct FreshnessAsked {
-  std::uint64_t Asked_ = 0;
+struct HeartbeatRequest {
+  std::uint64_t RefreshId_ = 0;
 };
 /// Asks for a document that a heartbeat has shown to be newer.
-struct DocumentWanted {
+struct DocumentRequest {
   DocumentKind Kind_ = DocumentKind::Declaration;
 };
-struct DocumentSent {
+struct DocumentMessage {
   DocumentKind Kind_ = DocumentKind::Declaration;
   std::string Text_;
 };
-struct SuccessionSent {
+struct SuccessionMessage {
   Succession Succession_;
 };
-using ControlMessage = std::variant<Heartbeat, DocumentWanted, DocumentSent,
-                                    SuccessionSent, FreshnessAsked>;
+using ControlMessage = std::variant<Heartbeat, DocumentRequest, DocumentMessage,
+                                    SuccessionMessage, HeartbeatRequest>;
 
 /// Largest control message: a document and its frame.
-constexpr std::size_t MaxControlMessage = MaxDocument + 1024;
+constexpr std::size_t MaxControlMessageBytes = MaxDocumentBytes + 1024;
 
 /// CBOR behind a 128-bit SipHash tag under \p Secret.
 std::string encodeControl(const ControlMessage &M, const SecretKey &Secret);
--- a/include/thymewall/core.h
+++ b/include/thymewall/core.h
@@ -44,16 +44,16 @@
 
 /// An IP address and port; IPv4 is stored as an IPv4-mapped IPv6 address.
 struct Endpoint {
-  std::array<std::uint8_t, 16> Address_{};
+  std::array<std::uint8_t, 16> Ip_{};
   std::uint16_t Port_ = 0;
 
   /// Makes an IPv4 endpoint from an address in host byte order.
   static constexpr Endpoint v4(std::uint32_t Address, std::uint16_t Port) {
     Endpoint E;
-    E.Address_[10] = 0xff;
-    E.Address_[11] = 0xff;
+    E.Ip_[10] = 0xff;
+    E.Ip_[11] = 0xff;
     for (std::size_t I = 0; I < 4; ++I)
-      E.Address_[12 + I] = static_cast<std::uint8_t>(Address >> (24 - 8 * I));
+      E.Ip_[12 + I] = static_cast<std::uint8_t>(Address >> (24 - 8 * I));
     E.Port_ = Port;
     return E;
   }
@@ -61,13 +61,13 @@
 };
 
 inline bool operator==(const Endpoint &A, const Endpoint &B) {
-  return A.Port_ == B.Port_ && A.Address_ == B.Address_;
+  return A.Port_ == B.Port_ && A.Ip_ == B.Ip_;
 }
 inline bool operator!=(const Endpoint &A, const Endpoint &B) {
   return !(A == B);
 }
 inline bool operator<(const Endpoint &A, const Endpoint &B) {
-  return std::tie(A.Address_, A.Port_) < std::tie(B.Address_, B.Port_);
+  return std::tie(A.Ip_, A.Port_) < std::tie(B.Ip_, B.Port_);
 }
 
 /// Hash of the service's name; see `nameId`.
@@ -130,8 +130,8 @@
 };
 
 /// What the caller is told for an error kind.
-enum class Answer : std::uint8_t {
-  Silence,        ///< Dropped and counted.
+enum class ErrorResponse : std::uint8_t {
+  Drop,           ///< Dropped and counted.
   NotRun,         ///< No upstream has run it, and none will.
   OutcomeUnknown, ///< It may have been run; a repeat is the caller's decision.
   Reset ///< The caller's transport is told at once that the flow is over.
@@ -143,7 +143,7 @@
 struct ErrorRow {
   ErrorKind Kind_;
   std::string_view Name_;
-  Answer Answer_;
+  ErrorResponse Response_;
   Micros RetryAfter_;
 };
 
--- a/include/thymewall/declaration.h
+++ b/include/thymewall/declaration.h
@@ -17,7 +17,7 @@
 
 namespace thymewall {
 
-constexpr std::size_t MaxDocument = 1024 * 1024;
+constexpr std::size_t MaxDocumentBytes = 1024 * 1024;
 
 using Labels = std::map<std::string, std::string>;
 
@@ -30,13 +30,13 @@
 };
 bool matches(const Term &T, const Labels &L);
 
-/// A weekly window in local time. `To_` before `From_` runs over midnight and
-/// belongs to the day on which it starts.
+/// A weekly window in local time. `ToMinute_` before `FromMinute_` runs over
+/// midnight and belongs to the day on which it starts.
 struct Window {
-  std::uint8_t Days_ = 0x7f;   ///< Bit 0 is Sunday.
-  std::uint16_t From_ = 0;     ///< Minute of the local day.
-  std::uint16_t To_ = 24 * 60; ///< Minute of the local day, exclusive.
-  std::string Zone_;           ///< IANA name.
+  std::uint8_t Days_ = 0x7f;         ///< Bit 0 is Sunday.
+  std::uint16_t FromMinute_ = 0;     ///< Minute of the local day.
+  std::uint16_t ToMinute_ = 24 * 60; ///< Minute of the local day, exclusive.
+  std::string TimeZone_;             ///< IANA name.
 };
 
 /// A local time as a zone gives it.
@@ -48,22 +48,22 @@
 
 /// Local time of a zone; an unknown zone gives nothing. `zone.h` has the hook
 /// that reads the IANA database; tests give their own.
-using ZoneClock = std::function<std::optional<LocalMinute>(
+using TimeZoneClock = std::function<std::optional<LocalMinute>(
     const std::string &Zone, WallTime When)>;
 
 struct Service {
   std::string Name_;
   ServiceId Id_{};
   std::uint16_t Port_ = 0;
-  Micros DeadlineAfter_{};            ///< For requests that bring no deadline.
-  std::uint32_t InFlightPerSlot_ = 0; ///< Bound at each balancer.
-  double RetryBudget_ = 0;            ///< Retries per first try of an open.
+  Micros DefaultTimeout_{}; ///< For requests that bring no deadline.
+  std::uint32_t MaxInFlightPerSlot_ = 0; ///< Bound at each balancer.
+  double RetryBudget_ = 0;               ///< Retries per first try of an open.
 };
 
 struct Upstream {
   std::string Name_;
   UpstreamId Id_{};
-  Endpoint At_;
+  Endpoint Address_;
   std::string DataHall_;
   std::uint32_t Slots_ = 1;
   bool RemembersRequests_ = false;
@@ -105,23 +105,25 @@
 
 /// Parses and validates a whole document. On failure the error object is
 /// `Problems`, with every fault found.
-boost::leaf::result<DeclarationPtr> parseDeclaration(std::string Text,
-                                                     const std::string &File,
-                                                     const ZoneClock &Zones);
+boost::leaf::result<DeclarationPtr>
+parseDeclaration(std::string Text, const std::string &File,
+                 const TimeZoneClock &Zones);
 
 /// Why an upstream does not serve a service at a time; empty when it does.
 std::string explain(const Declaration &D, const Service &S, const Upstream &U,
-                    const ZoneClock &Zones, WallTime When);
+                    const TimeZoneClock &Zones, WallTime When);
 
 /// Indexes into `Upstreams_` of those that serve \p S at \p When.
-std::vector<std::size_t> eligible(const Declaration &D, const Service &S,
-                                  const ZoneClock &Zones, WallTime When);
+std::vector<std::size_t> eligibleUpstreams(const Declaration &D,
+                                           const Service &S,
+                                           const TimeZoneClock &Zones,
+                                           WallTime When);
 
 /// Looks through the week from \p From, minute by minute, for services without
 /// an upstream and upstreams that serve two services; and for evacuated data
 /// halls that the declaration does not name elsewhere.
 Problems checkWeek(const Declaration &D, const std::string &File,
-                   const ZoneClock &Zones, WallTime From);
+                   const TimeZoneClock &Zones, WallTime From);
 
 } // namespace thymewall
 
--- a/include/thymewall/route.h
+++ b/include/thymewall/route.h
@@ -14,11 +14,11 @@
   ServiceId Service_{};
   FlowId Flow_{};
   UpstreamId Upstream_{};
-  Endpoint UpstreamAt_;
+  Endpoint UpstreamAddress_;
   Incarnation UpstreamIncarnation_{};
-  Version Placed_ = 0; ///< Declaration under which the flow was placed.
-  Endpoint HomeAt_;    ///< Data address of the home balancer.
-  Incarnation Home_{};
+  Version PlacedVersion_ = 0; ///< Declaration under which the flow was placed.
+  Endpoint HomeAddress_;      ///< Data address of the home balancer.
+  Incarnation HomeIncarnation_{};
   std::uint32_t Epoch_ = 0; ///< Home's own count of flow-table insertions.
 };
 bool operator==(const Route &A, const Route &B);
@@ -27,22 +27,23 @@
 using KeyPair = std::array<SecretKey, 2>;
 
 /// A sealed route in a buffer of its own.
-struct SealedRoute {
+struct SignedRoute {
   std::array<std::uint8_t, MaxRoute> Bytes_{};
   std::size_t Size_ = 0;
   Bytes bytes() const { return {Bytes_.data(), Size_}; }
 };
 
 /// Seals \p R with a 64-bit SipHash-2-4 tag. Allocates nothing.
-SealedRoute seal(const Route &R, const SecretKey &Secret);
+SignedRoute signRoute(const Route &R, const SecretKey &Secret);
 
-/// Opens a route for one service and flow: `ForgedRoute` when the layout or the
-/// tag is wrong, which a route of another service or flow always has.
+/// Verifies a route for one service and flow: `ForgedRoute` when the layout or
+/// the tag is wrong, which a route of another service or flow always has.
 ///
 ///   Route R;
-///   if (open(M.Route_, Keys, Service, M.Flow_, R) == ErrorKind::None) ...
-ErrorKind open(Bytes Sealed, const KeyPair &Keys, ServiceId Service,
-               FlowId Flow, Route &R);
+///   if (verifyRoute(M.Route_, Keys, Service, M.Flow_, R) == ErrorKind::None)
+///   ...
+ErrorKind verifyRoute(Bytes Sealed, const KeyPair &Keys, ServiceId Service,
+                      FlowId Flow, Route &R);
 
 } // namespace thymewall
 
--- a/include/thymewall/routing.h
+++ b/include/thymewall/routing.h
@@ -33,25 +33,25 @@
   std::unordered_map<std::uint32_t, std::string> ServiceNames_;
   /// New flows a second that a cold upstream of a service bears; only services
   /// that have such a limit.
-  std::unordered_map<std::uint32_t, double> ColdPerSecond_;
+  std::unordered_map<std::uint32_t, double> ColdFlowsPerSecond_;
   /// A flow that rests longer may be forgotten.
-  Micros IdleLimit_ = std::chrono::seconds(60);
+  Micros IdleTimeout_ = std::chrono::seconds(60);
 
   /// Null when callers may not use the address.
   const std::vector<ServiceShare> *find(const Endpoint &At) const;
   /// Whether it knows the service: by name, or as one that an address leads to.
-  bool names(ServiceId Id) const;
+  bool knowsService(ServiceId Id) const;
   /// 0 where a service has no limit for its cold upstreams.
-  double coldPerSecond(ServiceId Id) const;
+  double coldFlowsPerSecond(ServiceId Id) const;
   /// The name of a service, or its number when no name is known.
-  std::string nameOf(ServiceId Id) const;
+  std::string serviceName(ServiceId Id) const;
 };
 using RoutingTablePtr = std::shared_ptr<const RoutingTable>;
 
 /// The service of a new flow: drawn by weight from the flow's hash, so that
 /// every balancer and every copy of an opening packet agrees. \p Shares has at
 /// least one weight above 0.
-ServiceId drawService(const std::vector<ServiceShare> &Shares, FlowId Flow);
+ServiceId chooseService(const std::vector<ServiceShare> &Shares, FlowId Flow);
 
 } // namespace thymewall
 
--- a/include/thymewall/zone.h
+++ b/include/thymewall/zone.h
@@ -1,5 +1,5 @@
 /// \file
-/// The IANA time zone database as a `ZoneClock` (summer time included).
+/// The IANA time zone database as a `TimeZoneClock` (summer time included).
 #ifndef THYMEWALL_ZONE_H
 #define THYMEWALL_ZONE_H
 
@@ -9,7 +9,7 @@
 
 /// A clock over the system's zone database. Throws nothing; an unknown zone
 /// gives nothing.
-ZoneClock zoneClock();
+TimeZoneClock timeZoneClock();
 
 } // namespace thymewall
 
--- a/soak/soak-world.cc
+++ b/soak/soak-world.cc
@@ -226,7 +226,7 @@
   SoakUpstream *U = upstream(Id);
   if (!U || !U->Alive_ || U->Place_ != Place)
     return; // meant for one that is no longer here
-  std::size_t Balancer = From.Address_[15] - 10U;
+  std::size_t Balancer = From.Ip_[15] - 10U;
   if (P.Opens_)
     return onOpening(*U, P, Balancer);
   if (U->Flows_.count(P.Caller_.Port_) == 0) {
@@ -249,7 +249,7 @@
 }
 
 void World::onOpening(SoakUpstream &U, const Packet &P, std::size_t Balancer) {
-  std::size_t Index = P.Service_.Address_[15] - 1U;
+  std::size_t Index = P.Service_.Ip_[15] - 1U;
   const SoakAddress &A = Addresses_[Index];
   bool Bound = Balancers_[Balancer].inTouch() && Core_.inTouch();
   bool Earlier = A.Before_ == U.Service_;
--- a/src/balancer-caller.cc
+++ b/src/balancer-caller.cc
@@ -49,13 +49,13 @@
   if (M.Route_.empty()) {
     ++Counters_.Steps_[static_cast<std::size_t>(Step::Refused)];
     if (M.Kind_ == Kind::Request)
-      refuse(M, ErrorKind::RouteRequired, Answer::OutcomeUnknown);
+      refuse(M, ErrorKind::RouteRequired, ErrorResponse::OutcomeUnknown);
     else
       drop(ErrorKind::RouteRequired);
     return false;
   }
   ErrorKind Why =
-      thymewall::open(M.Route_, Options_.Keys_, M.Service_, M.Flow_, R);
+      thymewall::verifyRoute(M.Route_, Options_.Keys_, M.Service_, M.Flow_, R);
   if (Why == ErrorKind::None)
     return true;
   drop(Why);
@@ -66,11 +66,11 @@
 /// another upstream since.
 std::uint32_t Balancer::Impl::holder(const Route &R) {
   std::uint32_t Index = Upstreams_.byId(R.Upstream_);
-  std::uint32_t AtAddress = Upstreams_.byEndpoint(R.UpstreamAt_);
+  std::uint32_t AtAddress = Upstreams_.byEndpoint(R.UpstreamAddress_);
   bool Reused = AtAddress != UpstreamTable::None && AtAddress != Index;
   if (Reused || Index != UpstreamTable::None)
     return Reused ? UpstreamTable::None : Index;
-  return Upstreams_.adopt(R.Upstream_, R.UpstreamAt_);
+  return Upstreams_.adopt(R.Upstream_, R.UpstreamAddress_);
 }
 
 void Balancer::Impl::openFlow(Message M, bool MayPass) {
@@ -80,17 +80,17 @@
   if (Requests_.find(keyOf(M)))
     return; // a repeat of an open in progress
   if (!S || !ready())
-    return refuse(M, ErrorKind::NotReady, Answer::NotRun);
+    return refuse(M, ErrorKind::NotReady, ErrorResponse::NotRun);
   FlowKey Key{M.Service_, M.Flow_};
   if (Stopping_ && MayPass) {
     if (const Peer *P = openSuccessor(Key))
       return toPeer(P->Data_, PeerKind::Pass, M);
   }
-  WallTime Latest = Now_.Wall_ + S->Service_.DeadlineAfter_;
+  WallTime Latest = Now_.Wall_ + S->Service_.DefaultTimeout_;
   if (M.Deadline_ == WallTime{} || M.Deadline_ > Latest)
     M.Deadline_ = Latest;
   if (M.Deadline_ <= Now_.Wall_)
-    return refuse(M, ErrorKind::DeadlinePassed, Answer::NotRun);
+    return refuse(M, ErrorKind::DeadlinePassed, ErrorResponse::NotRun);
   double Earned = S->RetryTokens_ + S->Service_.RetryBudget_;
   S->RetryTokens_ = std::min(Earned, MaxRetryTokens);
   placeFlow(M, *S);
@@ -121,7 +121,7 @@
   if (Index == UpstreamTable::None) {
     const Eligible &Among = eligibleOf(S);
     if (Among.empty())
-      return refuse(M, ErrorKind::NoUpstream, Answer::NotRun);
+      return refuse(M, ErrorKind::NoUpstream, ErrorResponse::NotRun);
     Index = choose(Key, Among);
   }
   RequestRow Row;
@@ -134,7 +134,7 @@
   Row.Tries_ = 1;
   WallTime TryUntil = std::min(M.Deadline_, Now_.Wall_ + OpenTryFor);
   if (!Requests_.insert(Row, requestDue(TryUntil)))
-    return refuse(M, ErrorKind::Overloaded, Answer::NotRun);
+    return refuse(M, ErrorKind::Overloaded, ErrorResponse::NotRun);
   // Counted from now on, so that a burst of opens does not herd.
   if (!Placed)
     ++Upstreams_[Index].OwnFlows_;
@@ -171,7 +171,7 @@
       if (Index != Row.Upstream_)
         Others.add(Index, Upstreams_[Index].Slots_);
   if (Others.empty())
-    return refuseRow(Row, Why, Answer::NotRun);
+    return refuseRow(Row, Why, ErrorResponse::NotRun);
   S->RetryTokens_ -= 1;
   ++Counters_.Retries_;
   Row.Upstream_ = choose(Key, Others);
@@ -204,32 +204,33 @@
       return adopt(M, R);
     return pass(M, R, Next.Data_, PeerKind::Pass);
   }
-  if (R.HomeAt_ == Options_.Data_) // an earlier process at this address
+  if (R.HomeAddress_ == Options_.Data_) // an earlier process at this address
     return rehome(M, R, ErrorKind::HomeUnreachable);
-  pass(M, R, R.HomeAt_, PeerKind::Pass);
+  pass(M, R, R.HomeAddress_, PeerKind::Pass);
 }
 
 bool Balancer::Impl::overloaded(const ServiceState &S,
                                 const UpstreamRow &U) const {
-  return U.InFlight_ >= std::uint64_t{S.Service_.InFlightPerSlot_} * U.Slots_;
+  return U.InFlight_ >=
+         std::uint64_t{S.Service_.MaxInFlightPerSlot_} * U.Slots_;
 }
 
 /// Other balancers may hold copies of a repeatable request, so the answer of
 /// one that gives it up is never `not run`.
 void Balancer::Impl::forwardRepeatable(const Message &M, const Route &R) {
   if (M.Deadline_ != WallTime{} && M.Deadline_ <= Now_.Wall_)
-    return refuse(M, ErrorKind::DeadlinePassed, Answer::OutcomeUnknown);
+    return refuse(M, ErrorKind::DeadlinePassed, ErrorResponse::OutcomeUnknown);
   std::uint32_t Index = holder(R);
   if (Index == UpstreamTable::None)
-    return refuse(M, ErrorKind::FlowUnknown, Answer::OutcomeUnknown);
+    return refuse(M, ErrorKind::FlowUnknown, ErrorResponse::OutcomeUnknown);
   if (RequestRow *Before = Requests_.find(keyOf(M)))
     finish(*Before); // a retry: the new attempt replaces the old one
   if (overloaded(*serviceState(M.Service_), Upstreams_[Index]))
-    return refuse(M, ErrorKind::Overloaded, Answer::OutcomeUnknown);
+    return refuse(M, ErrorKind::Overloaded, ErrorResponse::OutcomeUnknown);
   Handing How;
   How.NewRoute_ = moveHere(R) != nullptr;
   if (!handOn(M, R, Index, How))
-    refuse(M, ErrorKind::Overloaded, Answer::OutcomeUnknown);
+    refuse(M, ErrorKind::Overloaded, ErrorResponse::OutcomeUnknown);
 }
 
 /// Sends a request to its upstream and remembers it until its last part or its
@@ -241,7 +242,7 @@
   Row.Key_ = keyOf(M);
   Row.Attempt_ = nextAttempt();
   Row.Deadline_ = M.Deadline_ == WallTime{}
-                      ? Now_.Wall_ + S->Service_.DeadlineAfter_
+                      ? Now_.Wall_ + S->Service_.DefaultTimeout_
                       : M.Deadline_;
   Row.Sent_ = Now_.Mono_;
   Row.Caller_ = M.Caller_;
@@ -259,7 +260,7 @@
   Out.Deadline_ = Row.Deadline_;
   Out.Attempt_ = Row.Attempt_;
   Out.Incarnation_ = R.UpstreamIncarnation_;
-  toUpstream(R.UpstreamAt_, Out);
+  toUpstream(R.UpstreamAddress_, Out);
   return true;
 }
 
@@ -272,7 +273,7 @@
   Message Out = M;
   Out.Route_ = {};
   Out.Incarnation_ = R.UpstreamIncarnation_;
-  toUpstream(R.UpstreamAt_, Out);
+  toUpstream(R.UpstreamAddress_, Out);
 }
 
 /// The upstream and the home both learn of a close. A lost copy is made good by
@@ -280,7 +281,7 @@
 void Balancer::Impl::closeFlow(const Message &M, const Route &R) {
   forwardStateless(M, R);
   if (!isHome(R))
-    return toPeer(R.HomeAt_, PeerKind::Pass, M);
+    return toPeer(R.HomeAddress_, PeerKind::Pass, M);
   FlowRow *Row = Flows_.find({M.Service_, M.Flow_});
   if (Row && Row->Epoch_ == R.Epoch_)
     closeRow(*Row);
@@ -292,12 +293,12 @@
 
 /// Tells the caller that its request is given up, at once. \p Bound is the
 /// strongest answer that is true here; the table of kinds may lower it.
-void Balancer::Impl::refuse(const Message &M, ErrorKind Why, Answer Bound,
-                            Bytes NewRoute) {
+void Balancer::Impl::refuse(const Message &M, ErrorKind Why,
+                            ErrorResponse Bound, Bytes NewRoute) {
   ++Counters_.Errors_[static_cast<std::size_t>(Why)];
   const ErrorRow &Row = errorRow(Why);
-  bool May = Bound == Answer::NotRun || !has(Mechanism::TruthfulNotRun);
-  bool NotRun = May && Row.Answer_ == Answer::NotRun;
+  bool May = Bound == ErrorResponse::NotRun || !has(Mechanism::TruthfulNotRun);
+  bool NotRun = May && Row.Response_ == ErrorResponse::NotRun;
   ++(NotRun ? Counters_.NotRun_ : Counters_.OutcomeUnknown_);
   Message Out = about(M, Kind::Refused);
   Out.Flags_ = NotRun ? FlagNotRun : FlagOutcomeUnknown;
@@ -310,7 +311,7 @@
 }
 
 void Balancer::Impl::refuseRow(const RequestRow &Row, ErrorKind Why,
-                               Answer Bound, WallTime RetryAt) {
+                               ErrorResponse Bound, WallTime RetryAt) {
   Message M;
   M.Service_ = Row.Key_.Service_;
   M.Flow_ = Row.Key_.Flow_;
--- a/src/balancer-home.cc
+++ b/src/balancer-home.cc
@@ -75,20 +75,20 @@
   Count -= Count == 0 ? 0 : 1;
 }
 
-SealedRoute Balancer::Impl::routeOf(const FlowRow &Row,
+SignedRoute Balancer::Impl::routeOf(const FlowRow &Row,
                                     Incarnation Upstream) const {
   const UpstreamRow &U = Upstreams_.rows()[Row.Upstream_];
   Route R;
   R.Service_ = Row.Service_;
   R.Flow_ = Row.Flow_;
   R.Upstream_ = U.Id_;
-  R.UpstreamAt_ = U.At_;
+  R.UpstreamAddress_ = U.At_;
   R.UpstreamIncarnation_ = Upstream;
-  R.Placed_ = Declaration_ ? Declaration_->Version_ : 0;
-  R.HomeAt_ = Options_.Data_;
-  R.Home_ = Options_.Incarnation_;
+  R.PlacedVersion_ = Declaration_ ? Declaration_->Version_ : 0;
+  R.HomeAddress_ = Options_.Data_;
+  R.HomeIncarnation_ = Options_.Incarnation_;
   R.Epoch_ = Row.Epoch_;
-  return seal(R, Options_.Keys_[0]);
+  return signRoute(R, Options_.Keys_[0]);
 }
 
 /// A request that may not be repeated, at the process that its route calls
@@ -116,7 +116,7 @@
     return; // a copy; the first one is or will be answered
   WallTime Furthest = Now_.Wall_ + LongestDeadlineSeen_ + ClockSlack;
   if (M.Deadline_ > Furthest)
-    return refuse(M, ErrorKind::DeadlineTooFar, Answer::OutcomeUnknown);
+    return refuse(M, ErrorKind::DeadlineTooFar, ErrorResponse::OutcomeUnknown);
   std::uint32_t Index = Row.Upstream_;
   bool Closed = Index == UpstreamTable::None;
   bool Used = has(Mechanism::NumberWindow) && Row.numberUsed(M.Request_);
@@ -124,14 +124,15 @@
   if (Used && From == Origin::Own && stoppedHandingOn())
     return delegate(M, R, PeerKind::Repeat);
   if (Used && !Replays)
-    return refuse(M, ErrorKind::NumberUsed, Answer::OutcomeUnknown);
+    return refuse(M, ErrorKind::NumberUsed, ErrorResponse::OutcomeUnknown);
   Row.useNumber(M.Request_);
   touch(Row);
   // Where the upstream remembers, other balancers may send it a copy too.
   bool Only = !Used && !Replays;
   if (!Used && From == Origin::Own && stoppedHandingOn())
     return delegate(M, R, PeerKind::Delegate);
-  Answer Bound = Only ? Answer::NotRun : Answer::OutcomeUnknown;
+  ErrorResponse Bound =
+      Only ? ErrorResponse::NotRun : ErrorResponse::OutcomeUnknown;
   if (Closed || holder(R) != Index)
     return refuse(M, ErrorKind::FlowUnknown, Bound);
   if (M.Deadline_ != WallTime{} && M.Deadline_ <= Now_.Wall_)
@@ -153,7 +154,8 @@
   RequestKey Key{M.Service_, M.Request_, M.Flow_};
   if (Passes_.find(Key))
     return;
-  if (Kind == PeerKind::Pass && Home == R.HomeAt_ && suspects(R.Home_))
+  if (Kind == PeerKind::Pass && Home == R.HomeAddress_ &&
+      suspects(R.HomeIncarnation_))
     return rehome(M, R, ErrorKind::HomeUnreachable);
   PassRow Row;
   Row.Key_ = Key;
@@ -162,7 +164,7 @@
   Row.Tries_ = 1;
   Row.store(M);
   if (!Passes_.insert(Row, requestTick(Now_.Mono_) + PassTryTicks[0]))
-    return refuse(M, ErrorKind::Overloaded, Answer::OutcomeUnknown);
+    return refuse(M, ErrorKind::Overloaded, ErrorResponse::OutcomeUnknown);
   toPeer(Home, Kind, M);
 }
 
@@ -180,10 +182,10 @@
 void Balancer::Impl::givePassUp(PassRow &Row, ErrorKind Why) {
   Message M = Row.message();
   Route R;
-  if (thymewall::open(M.Route_, Options_.Keys_, M.Service_, M.Flow_, R) ==
-      ErrorKind::None) {
-    if (Row.Kind_ == PeerKind::Pass && Row.Home_ == R.HomeAt_)
-      suspect(R.Home_);
+  if (thymewall::verifyRoute(M.Route_, Options_.Keys_, M.Service_, M.Flow_,
+                             R) == ErrorKind::None) {
+    if (Row.Kind_ == PeerKind::Pass && Row.Home_ == R.HomeAddress_)
+      suspect(R.HomeIncarnation_);
     rehome(M, R, Why);
   }
 }
@@ -204,7 +206,7 @@
 /// lost: requests that were sent under the old route keep it, and new ones come
 /// under ours. Null when the home is not suspected or we can't take the flow.
 FlowRow *Balancer::Impl::moveHere(const Route &R) {
-  if (Stopping_ || isHome(R) || !suspects(R.Home_))
+  if (Stopping_ || isHome(R) || !suspects(R.HomeIncarnation_))
     return nullptr;
   std::uint32_t Index = holder(R);
   if (Index == UpstreamTable::None)
@@ -219,7 +221,7 @@
   FlowRow *Row = moveHere(R);
   if (!Row)
     return;
-  SealedRoute Sealed = routeOf(*Row, R.UpstreamIncarnation_);
+  SignedRoute Sealed = routeOf(*Row, R.UpstreamIncarnation_);
   Message Out = about(M, Kind::Moved);
   Out.Route_ = Sealed.bytes();
   (*Sink_)(ToCaller{M.Caller_, Out});
@@ -235,12 +237,12 @@
   FlowRow *Row = Gone || Stopping_ ? nullptr : homeOf(Key, Index);
   ++Counters_.Rehomed_;
   if (!Row || Row->Upstream_ == UpstreamTable::None)
-    return refuse(M, Why, Answer::OutcomeUnknown);
+    return refuse(M, Why, ErrorResponse::OutcomeUnknown);
   if (Row->Upstream_ == Index && Upstreams_[Index].Remembers_)
     return submitToRow(*Row, M, R, Origin::Replayed);
   Row->useNumber(M.Request_);
-  SealedRoute Sealed = routeOf(*Row, R.UpstreamIncarnation_);
-  refuse(M, Why, Answer::OutcomeUnknown, Sealed.bytes());
+  SignedRoute Sealed = routeOf(*Row, R.UpstreamIncarnation_);
+  refuse(M, Why, ErrorResponse::OutcomeUnknown, Sealed.bytes());
 }
 
 void Balancer::Impl::on(const FromPeer &E) {
@@ -274,7 +276,7 @@
 void Balancer::Impl::onRepeated(const Message &M, const Endpoint &From) {
   confirm(M, From, PeerKind::Taken);
   if (!Requests_.find({M.Service_, M.Request_, M.Flow_}))
-    refuse(M, ErrorKind::NumberUsed, Answer::OutcomeUnknown);
+    refuse(M, ErrorKind::NumberUsed, ErrorResponse::OutcomeUnknown);
 }
 
 void Balancer::Impl::onPassed(const Message &M, const Endpoint &From,
@@ -283,7 +285,7 @@
     return openFlow(M, false);
   Route R;
   ErrorKind Why =
-      thymewall::open(M.Route_, Options_.Keys_, M.Service_, M.Flow_, R);
+      thymewall::verifyRoute(M.Route_, Options_.Keys_, M.Service_, M.Flow_, R);
   if (Why != ErrorKind::None)
     return drop(Why);
   if (M.Kind_ == Kind::Close) {
--- a/src/balancer-impl.h
+++ b/src/balancer-impl.h
@@ -113,9 +113,9 @@
 
   // Answers to callers.
   void drop(ErrorKind Why);
-  void refuse(const Message &M, ErrorKind Why, Answer Bound,
+  void refuse(const Message &M, ErrorKind Why, ErrorResponse Bound,
               Bytes NewRoute = {});
-  void refuseRow(const RequestRow &Row, ErrorKind Why, Answer Bound,
+  void refuseRow(const RequestRow &Row, ErrorKind Why, ErrorResponse Bound,
                  WallTime RetryAt = {});
   void toUpstream(const Endpoint &To, const Message &M);
   void toPeer(const Endpoint &To, PeerKind Kind, const Message &M);
@@ -131,13 +131,15 @@
   void settle(RequestRow &Row);
 
   // Homes (balancer-home.cc).
-  bool isHome(const Route &R) const { return R.Home_ == Options_.Incarnation_; }
+  bool isHome(const Route &R) const {
+    return R.HomeIncarnation_ == Options_.Incarnation_;
+  }
   FlowRow *becomeHome(const FlowKey &Key, std::uint32_t Upstream);
   FlowRow *homeOf(const FlowKey &Key, std::uint32_t Upstream);
   void touch(FlowRow &Row);
   void closeRow(FlowRow &Row);
   void forgetFlow(FlowRow &Row);
-  SealedRoute routeOf(const FlowRow &Row, Incarnation Upstream) const;
+  SignedRoute routeOf(const FlowRow &Row, Incarnation Upstream) const;
   void submit(const Message &M, const Route &R);
   void submitToRow(FlowRow &Row, const Message &M, const Route &R, Origin From);
   bool stoppedHandingOn() const;
--- a/src/balancer-process.cc
+++ b/src/balancer-process.cc
@@ -44,7 +44,7 @@
       .incarnation(Self)
       .seed(randomNumber())
       .keys(S.Keys_)
-      .zones(zoneClock())
+      .zones(timeZoneClock())
       .onDelay(std::move(OnDelay))
       .build();
 }
@@ -96,9 +96,9 @@
 
   void onPlatform(const PlatformAnswer &Answer);
   void onDocument(DocumentKind Kind, const std::string &Text,
-                  const std::string &Source, std::uint64_t Asked);
+                  const std::string &Source, std::uint64_t RefreshId);
   void onDeclaration(const std::string &Text, const std::string &Source,
-                     std::uint64_t Asked);
+                     std::uint64_t RefreshId);
   void onHosts(const std::string &Text, const std::string &Source);
   ControlHooks controlHooks();
   void tick();
@@ -240,7 +240,7 @@
                {{"service", S.Name_}, {"reason", Error.what()}});
     }
   }
-  Platform_.setKnown(DocumentKind::Declaration, Declaration_->Version_);
+  Platform_.setKnownVersion(DocumentKind::Declaration, Declaration_->Version_);
   Control_.setDocument(DocumentKind::Declaration,
                        {Declaration_->Version_, Declaration_->Digest_},
                        Declaration_->Text_);
@@ -252,11 +252,11 @@
   logState("late_wake", {});
   Asked_ = A.Asked_;
   Platform_.readNow(A.Asked_);
-  Control_.askFreshness(A.Asked_);
+  Control_.requestHeartbeats(A.Asked_);
 }
 
 void BalancerProcess::Impl::act(const TellSuccession &A) {
-  Control_.tell(A.Succession_);
+  Control_.broadcast(A.Succession_);
 }
 
 void BalancerProcess::Impl::act(const Stopped &) {
@@ -265,35 +265,35 @@
 }
 
 void BalancerProcess::Impl::onPlatform(const PlatformAnswer &Answer) {
-  Control_.noteWatched();
+  Control_.recordPlatformAnswer();
   if (Answer.Text_.empty()) {
     if (Answer.Kind_ == DocumentKind::Declaration)
-      give(SourceConfirmed{Answer.Asked_});
+      give(SourceConfirmed{Answer.RefreshId_});
     return;
   }
-  onDocument(Answer.Kind_, Answer.Text_, "platform", Answer.Asked_);
+  onDocument(Answer.Kind_, Answer.Text_, "platform", Answer.RefreshId_);
 }
 
 void BalancerProcess::Impl::onDocument(DocumentKind Kind,
                                        const std::string &Text,
                                        const std::string &Source,
-                                       std::uint64_t Asked) {
+                                       std::uint64_t RefreshId) {
   if (Kind == DocumentKind::Declaration)
-    return onDeclaration(Text, Source, Asked);
+    return onDeclaration(Text, Source, RefreshId);
   onHosts(Text, Source);
 }
 
 void BalancerProcess::Impl::onDeclaration(const std::string &Text,
                                           const std::string &Source,
-                                          std::uint64_t Asked) {
+                                          std::uint64_t RefreshId) {
   auto Refused = [](const Problems &Found) {
     logState("declaration_refused", {{"count", std::to_string(Found.size())},
                                      {"first", format(Found.front())}});
   };
   boost::leaf::try_handle_all(
       [&]() -> boost::leaf::result<void> {
-        BOOST_LEAF_AUTO(Read, parseDeclaration(Text, Source, zoneClock()));
-        give(DeclarationRead{Read, Asked});
+        BOOST_LEAF_AUTO(Read, parseDeclaration(Text, Source, timeZoneClock()));
+        give(DeclarationRead{Read, RefreshId});
         return {};
       },
       Refused, [] { logState("declaration_refused", {}); });
@@ -308,8 +308,8 @@
           return {};
         Hosts_ = Read;
         give(HostListRead{Read});
-        Platform_.setKnown(DocumentKind::Hosts, Read->Version_);
-        Platform_.setLongestPause(PausePerHost * Read->Hosts_.size());
+        Platform_.setKnownVersion(DocumentKind::Hosts, Read->Version_);
+        Platform_.setMaxRetryDelay(PausePerHost * Read->Hosts_.size());
         Control_.setHosts(Read);
         Control_.setDocument(
             DocumentKind::Hosts,
@@ -332,13 +332,13 @@
     // A peer's document is taken as fresh once the peers are asked again.
     onDocument(Kind, Text, "peer", Unasked);
     if (!Core_.status().Ready_)
-      Control_.askFreshness(Asked_);
+      Control_.requestHeartbeats(Asked_);
   };
   Hooks.OnSuccession_ = [this](const Succession &S) {
     give(SuccessionRead{S});
   };
-  Hooks.OnConfirmed_ = [this](std::uint64_t Asked) {
-    give(SourceConfirmed{Asked});
+  Hooks.OnConfirmed_ = [this](std::uint64_t RefreshId) {
+    give(SourceConfirmed{RefreshId});
   };
   return Hooks;
 }
@@ -358,7 +358,7 @@
   bool Watching =
       !Hosts_ ||
       watchesPlatform(*Hosts_, Settings_.Name_, Settings_.DataHall_,
-                      Settings_.WatchersPerHall_, Control_.silentWatchers());
+                      Settings_.WatchersPerHall_, Control_.staleWatchers());
   Platform_.setWatching(Watching);
   WatchTimer_.expires_after(WatchReviewEvery);
   WatchTimer_.async_wait([this](const asio::error_code &Error) {
@@ -377,12 +377,12 @@
     R.Counters_.Errors_[I] += Undecoded_[I];
   R.Delays_ = &Delays_;
   R.Declaration_ = Declaration_;
-  R.Numbers_ = {{"control_bytes_sent", Control.BytesSent_},
-                {"control_bytes_received", Control.BytesReceived_},
-                {"control_messages_sent", Control.MessagesSent_},
-                {"control_messages_refused", Control.MessagesRefused_},
-                {"control_links", Control.Links_},
-                {"platform_calls", Platform_.calls()}};
+  R.ProcessCounters_ = {{"control_bytes_sent", Control.BytesSent_},
+                        {"control_bytes_received", Control.BytesReceived_},
+                        {"control_messages_sent", Control.MessagesSent_},
+                        {"control_messages_refused", Control.MessagesRefused_},
+                        {"control_links", Control.Links_},
+                        {"platform_calls", Platform_.calls()}};
   return R;
 }
 
--- a/src/balancer-succession.cc
+++ b/src/balancer-succession.cc
@@ -36,7 +36,7 @@
 
 const Succession *Balancer::Impl::successionOf(const Route &R) const {
   for (const Succession &S : Successions_)
-    if (S.Home_ == R.Home_)
+    if (S.Home_ == R.HomeIncarnation_)
       return &S;
   return nullptr;
 }
@@ -54,11 +54,11 @@
 void Balancer::Impl::adopt(const Message &M, const Route &R) {
   std::uint32_t Index = holder(R);
   if (Index == UpstreamTable::None)
-    return refuse(M, ErrorKind::FlowUnknown, Answer::OutcomeUnknown);
+    return refuse(M, ErrorKind::FlowUnknown, ErrorResponse::OutcomeUnknown);
   FlowRow *Row = homeOf({M.Service_, M.Flow_}, Index);
   ++Counters_.Adopted_;
   if (!Row)
-    return refuse(M, ErrorKind::Overloaded, Answer::OutcomeUnknown);
+    return refuse(M, ErrorKind::Overloaded, ErrorResponse::OutcomeUnknown);
   submitToRow(*Row, M, R, Origin::Adopted);
 }
 
--- a/src/balancer-upstream.cc
+++ b/src/balancer-upstream.cc
@@ -82,12 +82,12 @@
     Flow = becomeHome(Key, Upstream);
   }
   if (!Flow) {
-    refuseRow(*Row, ErrorKind::Overloaded, Answer::NotRun);
+    refuseRow(*Row, ErrorKind::Overloaded, ErrorResponse::NotRun);
     return finish(*Row);
   }
   finish(*Row);
   ++Counters_.Opened_;
-  SealedRoute Sealed = routeOf(*Flow, M.Incarnation_);
+  SignedRoute Sealed = routeOf(*Flow, M.Incarnation_);
   Message Out = about(M, Kind::Opened);
   Out.Route_ = Sealed.bytes();
   (*Sink_)(ToCaller{Caller, Out});
@@ -112,7 +112,7 @@
   Out.Incarnation_ = {};
   Out.Load_ = 0;
   Out.Epoch_ = 0;
-  SealedRoute Sealed;
+  SignedRoute Sealed;
   FlowRow *Flow = Row->NewRoute_ ? Flows_.find({M.Service_, M.Flow_}) : nullptr;
   if (Flow && Flow->Upstream_ == Upstream)
     Sealed = routeOf(*Flow, M.Incarnation_);
@@ -143,8 +143,8 @@
     return;
   }
   bool Started = Row->PartsSeen_ != 0;
-  Answer Bound =
-      Row->Only_ && !Started ? Answer::NotRun : Answer::OutcomeUnknown;
+  ErrorResponse Bound = Row->Only_ && !Started ? ErrorResponse::NotRun
+                                               : ErrorResponse::OutcomeUnknown;
   refuseRow(*Row, ErrorKind::UpstreamRefused, Bound, M.RetryAt_);
   finish(*Row);
 }
--- a/src/balancer.cc
+++ b/src/balancer.cc
@@ -99,7 +99,7 @@
   Old.swap(Services_);
   for (const Service &S : Declaration_->Services_) {
     Services_.push_back({S, {}, 0, {}, 0});
-    LongestDeadlineSeen_ = std::max(LongestDeadlineSeen_, S.DeadlineAfter_);
+    LongestDeadlineSeen_ = std::max(LongestDeadlineSeen_, S.DefaultTimeout_);
     for (const ServiceState &Before : Old)
       if (Before.Service_.Id_ == S.Id_)
         Services_.back().RetryTokens_ = Before.RetryTokens_;
@@ -164,8 +164,9 @@
     ServiceState &S = Services_[I];
     S.Selected_.clear();
     S.Generation_ = 0;
-    for (std::size_t Index : eligible(*Declaration_, Declaration_->Services_[I],
-                                      Options_.Zones_, Now_.Wall_))
+    for (std::size_t Index :
+         eligibleUpstreams(*Declaration_, Declaration_->Services_[I],
+                           Options_.Zones_, Now_.Wall_))
       S.Selected_.push_back(
           Upstreams_.byId(Declaration_->Upstreams_[Index].Id_));
   }
@@ -221,7 +222,7 @@
     Cancel.Caller_ = Row.Caller_;
     toUpstream(Upstreams_[Row.Upstream_].At_, Cancel);
     --Upstreams_[Row.Upstream_].InFlight_;
-    refuseRow(Row, ErrorKind::NoAnswer, Answer::OutcomeUnknown);
+    refuseRow(Row, ErrorKind::NoAnswer, ErrorResponse::OutcomeUnknown);
   });
 }
 
@@ -282,7 +283,7 @@
   Options_.Chooser_ = std::move(Value);
   return *this;
 }
-BalancerBuilder &BalancerBuilder::zones(ZoneClock Value) {
+BalancerBuilder &BalancerBuilder::zones(TimeZoneClock Value) {
   Options_.Zones_ = std::move(Value);
   return *this;
 }
--- a/src/control-plane.cc
+++ b/src/control-plane.cc
@@ -41,10 +41,10 @@
   void setDocument(DocumentKind Kind, const DocumentVersion &Which,
                    std::string Text);
   void setLeaving();
-  void askFreshness(std::uint64_t Asked);
-  void tell(const Succession &S);
-  void noteWatched();
-  std::vector<std::string> silentWatchers() const;
+  void requestHeartbeats(std::uint64_t RefreshId);
+  void broadcast(const Succession &S);
+  void recordPlatformAnswer();
+  std::vector<std::string> staleWatchers() const;
   ControlCounters counters() const;
 
 private:
@@ -52,10 +52,10 @@
   void onOpen(LinkId Which, const std::string &Target);
   void onMessage(LinkId Which, const std::string &Bytes);
   void receive(LinkId Which, const Heartbeat &M);
-  void receive(LinkId Which, const DocumentWanted &M);
-  void receive(LinkId Which, const DocumentSent &M);
-  void receive(LinkId Which, const SuccessionSent &M);
-  void receive(LinkId Which, const FreshnessAsked &M);
+  void receive(LinkId Which, const DocumentRequest &M);
+  void receive(LinkId Which, const DocumentMessage &M);
+  void receive(LinkId Which, const SuccessionMessage &M);
+  void receive(LinkId Which, const HeartbeatRequest &M);
   void send(LinkId Which, const ControlMessage &M);
   void sendAll(const ControlMessage &M);
   Heartbeat heartbeat() const;
@@ -73,7 +73,7 @@
   PeerLinks Peers_;
   asio::steady_timer Timer_;
   HostListPtr Hosts_;
-  std::array<Document, DocumentKinds> Documents_;
+  std::array<Document, DocumentKindCount> Documents_;
   std::map<LinkId, Link> Links_;
   std::set<std::string> Connecting_;
   std::vector<Host> Chosen_;                   ///< To link to.
@@ -87,7 +87,7 @@
 ControlPlane::Impl::Impl(asio::io_context &Context, const Settings &Configured,
                          Incarnation Self, ControlHooks Hooks)
     : Settings_(Configured), Self_(Self), Hooks_(std::move(Hooks)),
-      Peers_(Context, Settings_.Control_, MaxControlMessage, linkHooks()),
+      Peers_(Context, Settings_.Control_, MaxControlMessageBytes, linkHooks()),
       Timer_(Context) {
   schedule();
 }
@@ -112,7 +112,7 @@
   Links_[Which] = Link{Target, ""};
   send(Which, heartbeat());
   for (const Succession &S : Successions_)
-    send(Which, SuccessionSent{S});
+    send(Which, SuccessionMessage{S});
 }
 
 void ControlPlane::Impl::onMessage(LinkId Which, const std::string &Bytes) {
@@ -135,36 +135,36 @@
   learnWatchers(M);
   Hooks_.OnHeartbeat_(M);
   bool Newer = false;
-  for (std::size_t K = 0; K < DocumentKinds; ++K)
+  for (std::size_t K = 0; K < DocumentKindCount; ++K)
     if (Documents_[K].Which_ < M.Versions_[K]) {
       Newer = true;
-      send(Which, DocumentWanted{static_cast<DocumentKind>(K)});
+      send(Which, DocumentRequest{static_cast<DocumentKind>(K)});
     }
-  if (!Newer && M.Answers_ != 0)
-    Hooks_.OnConfirmed_(M.Answers_);
+  if (!Newer && M.RefreshId_ != 0)
+    Hooks_.OnConfirmed_(M.RefreshId_);
 }
 
-void ControlPlane::Impl::receive(LinkId Which, const FreshnessAsked &M) {
+void ControlPlane::Impl::receive(LinkId Which, const HeartbeatRequest &M) {
   Heartbeat Answer = heartbeat();
-  Answer.Answers_ = M.Asked_;
+  Answer.RefreshId_ = M.RefreshId_;
   send(Which, Answer);
 }
 
-void ControlPlane::Impl::receive(LinkId Which, const DocumentWanted &M) {
+void ControlPlane::Impl::receive(LinkId Which, const DocumentRequest &M) {
   const Document &D = Documents_[raw(M.Kind_)];
   if (D.Which_.Version_ != 0)
-    send(Which, DocumentSent{M.Kind_, D.Text_});
+    send(Which, DocumentMessage{M.Kind_, D.Text_});
 }
 
-void ControlPlane::Impl::receive(LinkId, const DocumentSent &M) {
+void ControlPlane::Impl::receive(LinkId, const DocumentMessage &M) {
   Hooks_.OnDocument_(M.Kind_, M.Text_);
 }
 
-void ControlPlane::Impl::receive(LinkId, const SuccessionSent &M) {
+void ControlPlane::Impl::receive(LinkId, const SuccessionMessage &M) {
   for (const Succession &S : Successions_)
     if (S.Home_ == M.Succession_.Home_)
       return;
-  tell(M.Succession_); // each balancer passes it on once
+  broadcast(M.Succession_); // each balancer passes it on once
   Hooks_.OnSuccession_(M.Succession_);
 }
 
@@ -186,7 +186,7 @@
   M.Data_ = Settings_.Data_;
   M.Incarnation_ = Self_;
   M.Leaving_ = Leaving_;
-  for (std::size_t K = 0; K < DocumentKinds; ++K)
+  for (std::size_t K = 0; K < DocumentKindCount; ++K)
     M.Versions_[K] = Documents_[K].Which_;
   M.Watchers_ = freshestWatchers();
   return M;
@@ -296,23 +296,23 @@
   sendAll(heartbeat());
 }
 
-void ControlPlane::Impl::askFreshness(std::uint64_t Asked) {
-  sendAll(FreshnessAsked{Asked});
+void ControlPlane::Impl::requestHeartbeats(std::uint64_t RefreshId) {
+  sendAll(HeartbeatRequest{RefreshId});
 }
 
-void ControlPlane::Impl::tell(const Succession &S) {
+void ControlPlane::Impl::broadcast(const Succession &S) {
   if (Successions_.size() == MaxSuccessionsKept)
     Successions_.erase(Successions_.begin());
   Successions_.push_back(S);
-  sendAll(SuccessionSent{S});
+  sendAll(SuccessionMessage{S});
 }
 
-void ControlPlane::Impl::noteWatched() {
+void ControlPlane::Impl::recordPlatformAnswer() {
   WatchedAt_[static_cast<BalancerId>(nameId(Settings_.Name_))] =
       std::chrono::steady_clock::now();
 }
 
-std::vector<std::string> ControlPlane::Impl::silentWatchers() const {
+std::vector<std::string> ControlPlane::Impl::staleWatchers() const {
   auto Now = std::chrono::steady_clock::now();
   std::vector<std::string> Result;
   for (const auto &[Name, Hall] : HallOf_) {
@@ -344,13 +344,13 @@
   Impl_->setDocument(Kind, Which, std::move(Text));
 }
 void ControlPlane::setLeaving() { Impl_->setLeaving(); }
-void ControlPlane::askFreshness(std::uint64_t Asked) {
-  Impl_->askFreshness(Asked);
+void ControlPlane::requestHeartbeats(std::uint64_t RefreshId) {
+  Impl_->requestHeartbeats(RefreshId);
 }
-void ControlPlane::tell(const Succession &S) { Impl_->tell(S); }
-void ControlPlane::noteWatched() { Impl_->noteWatched(); }
-std::vector<std::string> ControlPlane::silentWatchers() const {
-  return Impl_->silentWatchers();
+void ControlPlane::broadcast(const Succession &S) { Impl_->broadcast(S); }
+void ControlPlane::recordPlatformAnswer() { Impl_->recordPlatformAnswer(); }
+std::vector<std::string> ControlPlane::staleWatchers() const {
+  return Impl_->staleWatchers();
 }
 ControlCounters ControlPlane::counters() const { return Impl_->counters(); }
 
--- a/src/control-plane.h
+++ b/src/control-plane.h
@@ -20,7 +20,7 @@
   std::function<void(DocumentKind, const std::string &Text)> OnDocument_;
   std::function<void(const Succession &)> OnSuccession_;
   /// A peer showed, after it was asked, that it has nothing newer than we have.
-  std::function<void(std::uint64_t Asked)> OnConfirmed_;
+  std::function<void(std::uint64_t RefreshId)> OnConfirmed_;
 };
 
 /// Totals since the start; bytes are those of messages, without framing.
@@ -44,14 +44,14 @@
                    std::string Text);
   void setLeaving();
   /// Asks every peer for what it has now; `OnConfirmed_` tells who agrees.
-  void askFreshness(std::uint64_t Asked);
+  void requestHeartbeats(std::uint64_t RefreshId);
   /// Sends a succession to every link, and on every link that opens later.
-  void tell(const Succession &S);
+  void broadcast(const Succession &S);
   /// Notes that the platform has answered this balancer.
-  void noteWatched();
+  void recordPlatformAnswer();
   /// Listed balancers of our data hall that are not known to have had an answer
   /// of the platform of late.
-  std::vector<std::string> silentWatchers() const;
+  std::vector<std::string> staleWatchers() const;
   ControlCounters counters() const;
 
 private:
--- a/src/control.cc
+++ b/src/control.cc
@@ -35,20 +35,22 @@
           M.Leaving_,
           Versions,
           Watchers,
-          M.Answers_};
+          M.RefreshId_};
 }
 
-Json toJson(const FreshnessAsked &M) { return {raw(Type::Asked), M.Asked_}; }
+Json toJson(const HeartbeatRequest &M) {
+  return {raw(Type::Asked), M.RefreshId_};
+}
 
-Json toJson(const DocumentWanted &M) {
+Json toJson(const DocumentRequest &M) {
   return {raw(Type::Wanted), raw(M.Kind_)};
 }
 
-Json toJson(const DocumentSent &M) {
+Json toJson(const DocumentMessage &M) {
   return {raw(Type::Sent), raw(M.Kind_), M.Text_};
 }
 
-Json toJson(const SuccessionSent &M) {
+Json toJson(const SuccessionMessage &M) {
   Json Successors = Json::array();
   for (const Successor &S : M.Succession_.Successors_)
     Successors.push_back({formatEndpoint(S.Data_), raw(S.Incarnation_)});
@@ -73,7 +75,7 @@
 
 DocumentKind kindFrom(const Json &Value) {
   auto Number = Value.get<std::uint8_t>();
-  require(Number < DocumentKinds);
+  require(Number < DocumentKindCount);
   return static_cast<DocumentKind>(Number);
 }
 
@@ -83,7 +85,7 @@
   M.Data_ = endpointFrom(J.at(2));
   M.Incarnation_ = static_cast<Incarnation>(J.at(3).get<std::uint64_t>());
   M.Leaving_ = J.at(4).get<bool>();
-  for (std::size_t I = 0; I < DocumentKinds; ++I)
+  for (std::size_t I = 0; I < DocumentKindCount; ++I)
     M.Versions_[I] = {J.at(5).at(I).at(0).get<Version>(),
                       J.at(5).at(I).at(1).get<std::uint64_t>()};
   require(J.at(6).is_array() && J.at(6).size() <= MaxWatcherAges);
@@ -91,7 +93,7 @@
     M.Watchers_.push_back(
         {static_cast<BalancerId>(Item.at(0).get<std::uint32_t>()),
          Item.at(1).get<std::uint32_t>()});
-  M.Answers_ = J.at(7).get<std::uint64_t>();
+  M.RefreshId_ = J.at(7).get<std::uint64_t>();
   return M;
 }
 
@@ -106,7 +108,7 @@
     S.Successors_.push_back(
         {endpointFrom(Item.at(0)),
          static_cast<Incarnation>(Item.at(1).get<std::uint64_t>())});
-  return SuccessionSent{S};
+  return SuccessionMessage{S};
 }
 
 ControlMessage fromJson(const Json &J) {
@@ -114,13 +116,13 @@
   case Type::Heartbeat:
     return heartbeatFrom(J);
   case Type::Wanted:
-    return DocumentWanted{kindFrom(J.at(1))};
+    return DocumentRequest{kindFrom(J.at(1))};
   case Type::Sent:
-    return DocumentSent{kindFrom(J.at(1)), J.at(2).get<std::string>()};
+    return DocumentMessage{kindFrom(J.at(1)), J.at(2).get<std::string>()};
   case Type::Succession:
     return successionFrom(J);
   case Type::Asked:
-    return FreshnessAsked{J.at(1).get<std::uint64_t>()};
+    return HeartbeatRequest{J.at(1).get<std::uint64_t>()};
   }
   throw OutOfRange();
 }
@@ -159,7 +161,7 @@
 ErrorKind decodeControl(const std::string &Bytes,
                         const std::array<SecretKey, 2> &Keys,
                         ControlMessage &M) {
-  if (Bytes.size() > MaxControlMessage)
+  if (Bytes.size() > MaxControlMessageBytes)
     return ErrorKind::Oversized;
   if (Bytes.size() <= TagSize)
     return ErrorKind::Malformed;
--- a/src/core.cc
+++ b/src/core.cc
@@ -26,35 +26,37 @@
 constexpr Micros Later = 1s;
 
 constexpr ErrorRow Rows[] = {
-    {ErrorKind::None, "none", Answer::Silence, Now},
-    {ErrorKind::Malformed, "malformed", Answer::Silence, Now},
-    {ErrorKind::Oversized, "oversized", Answer::Silence, Now},
-    {ErrorKind::ForgedRoute, "forged_route", Answer::Silence, Now},
-    {ErrorKind::UnknownService, "unknown_service", Answer::Silence, Now},
-    {ErrorKind::NotReady, "not_ready", Answer::NotRun, Soon},
-    {ErrorKind::NoUpstream, "no_upstream", Answer::NotRun, Later},
-    {ErrorKind::Overloaded, "overloaded", Answer::NotRun, Soon},
-    {ErrorKind::UpstreamRefused, "upstream_refused", Answer::NotRun, Soon},
-    {ErrorKind::FlowUnknown, "flow_unknown", Answer::NotRun, Now},
-    {ErrorKind::DeadlinePassed, "deadline_passed", Answer::NotRun, Now},
-    {ErrorKind::DeadlineTooFar, "deadline_too_far", Answer::NotRun, Now},
-    {ErrorKind::NoAnswer, "no_answer", Answer::OutcomeUnknown, Soon},
-    {ErrorKind::HomeUnreachable, "home_unreachable", Answer::OutcomeUnknown,
+    {ErrorKind::None, "none", ErrorResponse::Drop, Now},
+    {ErrorKind::Malformed, "malformed", ErrorResponse::Drop, Now},
+    {ErrorKind::Oversized, "oversized", ErrorResponse::Drop, Now},
+    {ErrorKind::ForgedRoute, "forged_route", ErrorResponse::Drop, Now},
+    {ErrorKind::UnknownService, "unknown_service", ErrorResponse::Drop, Now},
+    {ErrorKind::NotReady, "not_ready", ErrorResponse::NotRun, Soon},
+    {ErrorKind::NoUpstream, "no_upstream", ErrorResponse::NotRun, Later},
+    {ErrorKind::Overloaded, "overloaded", ErrorResponse::NotRun, Soon},
+    {ErrorKind::UpstreamRefused, "upstream_refused", ErrorResponse::NotRun,
+     Soon},
+    {ErrorKind::FlowUnknown, "flow_unknown", ErrorResponse::NotRun, Now},
+    {ErrorKind::DeadlinePassed, "deadline_passed", ErrorResponse::NotRun, Now},
+    {ErrorKind::DeadlineTooFar, "deadline_too_far", ErrorResponse::NotRun, Now},
+    {ErrorKind::NoAnswer, "no_answer", ErrorResponse::OutcomeUnknown, Soon},
+    {ErrorKind::HomeUnreachable, "home_unreachable",
+     ErrorResponse::OutcomeUnknown, Now},
+    {ErrorKind::NumberUsed, "number_used", ErrorResponse::OutcomeUnknown, Now},
+    {ErrorKind::RouteRequired, "route_required", ErrorResponse::OutcomeUnknown,
      Now},
-    {ErrorKind::NumberUsed, "number_used", Answer::OutcomeUnknown, Now},
-    {ErrorKind::RouteRequired, "route_required", Answer::OutcomeUnknown, Now},
-    {ErrorKind::LateAnswer, "late_answer", Answer::Silence, Now},
-    {ErrorKind::RepeatedPart, "repeated_part", Answer::Silence, Now},
-    {ErrorKind::UnknownSender, "unknown_sender", Answer::Silence, Now},
-    {ErrorKind::BadTag, "bad_tag", Answer::Silence, Now},
-    {ErrorKind::NotFromCaller, "not_from_caller", Answer::Silence, Now},
-    {ErrorKind::UnknownAddress, "unknown_address", Answer::Reset, Now},
-    {ErrorKind::TableNotFresh, "table_not_fresh", Answer::Silence, Now},
-    {ErrorKind::UnknownCookie, "unknown_cookie", Answer::Silence, Now},
-    {ErrorKind::NoneLeft, "none_left", Answer::Silence, Now},
-    {ErrorKind::UpstreamDead, "upstream_dead", Answer::Reset, Now},
-    {ErrorKind::AllEvacuated, "all_evacuated", Answer::Reset, Now},
-    {ErrorKind::AllCold, "all_cold", Answer::Reset, Now},
+    {ErrorKind::LateAnswer, "late_answer", ErrorResponse::Drop, Now},
+    {ErrorKind::RepeatedPart, "repeated_part", ErrorResponse::Drop, Now},
+    {ErrorKind::UnknownSender, "unknown_sender", ErrorResponse::Drop, Now},
+    {ErrorKind::BadTag, "bad_tag", ErrorResponse::Drop, Now},
+    {ErrorKind::NotFromCaller, "not_from_caller", ErrorResponse::Drop, Now},
+    {ErrorKind::UnknownAddress, "unknown_address", ErrorResponse::Reset, Now},
+    {ErrorKind::TableNotFresh, "table_not_fresh", ErrorResponse::Drop, Now},
+    {ErrorKind::UnknownCookie, "unknown_cookie", ErrorResponse::Drop, Now},
+    {ErrorKind::NoneLeft, "none_left", ErrorResponse::Drop, Now},
+    {ErrorKind::UpstreamDead, "upstream_dead", ErrorResponse::Reset, Now},
+    {ErrorKind::AllEvacuated, "all_evacuated", ErrorResponse::Reset, Now},
+    {ErrorKind::AllCold, "all_cold", ErrorResponse::Reset, Now},
 };
 static_assert(sizeof Rows / sizeof Rows[0] ==
                   static_cast<std::size_t>(ErrorKind::Count),
@@ -86,7 +88,7 @@
     return {};
   Host = Host.substr(1, Host.size() - 2);
   Endpoint Result;
-  if (inet_pton(AF_INET6, Host.c_str(), Result.Address_.data()) != 1)
+  if (inet_pton(AF_INET6, Host.c_str(), Result.Ip_.data()) != 1)
     return {};
   Result.Port_ = Port;
   return Result;
@@ -97,12 +99,12 @@
       0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0xff, 0xff};
   char Text[INET6_ADDRSTRLEN];
   bool IsFour =
-      std::memcmp(Where.Address_.data(), Mapped.data(), Mapped.size()) == 0;
+      std::memcmp(Where.Ip_.data(), Mapped.data(), Mapped.size()) == 0;
   if (IsFour) {
-    inet_ntop(AF_INET, Where.Address_.data() + 12, Text, sizeof Text);
+    inet_ntop(AF_INET, Where.Ip_.data() + 12, Text, sizeof Text);
     return std::string(Text) + ":" + std::to_string(Where.Port_);
   }
-  inet_ntop(AF_INET6, Where.Address_.data(), Text, sizeof Text);
+  inet_ntop(AF_INET6, Where.Ip_.data(), Text, sizeof Text);
   return "[" + std::string(Text) + "]:" + std::to_string(Where.Port_);
 }
 
--- a/src/ctl-main.cc
+++ b/src/ctl-main.cc
@@ -37,7 +37,7 @@
 
 DeclarationPtr loadDeclaration(const std::string &Path) {
   return loadConfig(Path, [](std::string Text, const std::string &File) {
-    return parseDeclaration(std::move(Text), File, zoneClock());
+    return parseDeclaration(std::move(Text), File, timeZoneClock());
   });
 }
 
@@ -65,8 +65,9 @@
           } else if (IsHosts) {
             BOOST_LEAF_CHECK((parseHostList(*Text, File)));
           } else {
-            BOOST_LEAF_AUTO(Read, parseDeclaration(*Text, File, zoneClock()));
-            Note(checkWeek(*Read, File, zoneClock(), From));
+            BOOST_LEAF_AUTO(Read,
+                            parseDeclaration(*Text, File, timeZoneClock()));
+            Note(checkWeek(*Read, File, timeZoneClock(), From));
           }
           return {};
         },
@@ -88,7 +89,7 @@
     return ExitFoundWrong;
   }
   for (const Upstream &U : D->Upstreams_) {
-    std::string Reason = explain(*D, *S, U, zoneClock(), When);
+    std::string Reason = explain(*D, *S, U, timeZoneClock(), When);
     std::cout << U.Name_ << ": " << (Reason.empty() ? "yes" : "no, " + Reason)
               << "\n";
   }
@@ -98,7 +99,7 @@
 std::set<std::string> servingNames(const Declaration &D, const Service &S,
                                    WallTime When) {
   std::set<std::string> Names;
-  for (std::size_t Index : eligible(D, S, zoneClock(), When))
+  for (std::size_t Index : eligibleUpstreams(D, S, timeZoneClock(), When))
     Names.insert(D.Upstreams_[Index].Name_);
   return Names;
 }
--- a/src/declaration-serving.cc
+++ b/src/declaration-serving.cc
@@ -38,12 +38,12 @@
 }
 
 bool contains(const Window &W, LocalMinute Local) {
-  if (W.From_ < W.To_)
-    return onDay(W, Local.Weekday_) && Local.Minute_ >= W.From_ &&
-           Local.Minute_ < W.To_;
-  if (Local.Minute_ >= W.From_)
+  if (W.FromMinute_ < W.ToMinute_)
+    return onDay(W, Local.Weekday_) && Local.Minute_ >= W.FromMinute_ &&
+           Local.Minute_ < W.ToMinute_;
+  if (Local.Minute_ >= W.FromMinute_)
     return onDay(W, Local.Weekday_);
-  return Local.Minute_ < W.To_ && onDay(W, Local.Weekday_ - 1);
+  return Local.Minute_ < W.ToMinute_ && onDay(W, Local.Weekday_ - 1);
 }
 
 const Service *Declaration::service(ServiceId Id) const {
@@ -59,10 +59,10 @@
 
 namespace {
 
-bool active(const Selector &S, const ZoneClock &Zones, WallTime When) {
+bool active(const Selector &S, const TimeZoneClock &Zones, WallTime When) {
   if (!S.Window_)
     return true;
-  auto Local = Zones(S.Window_->Zone_, When);
+  auto Local = Zones(S.Window_->TimeZone_, When);
   return Local && contains(*S.Window_, *Local);
 }
 
@@ -120,7 +120,7 @@
 } // namespace
 
 std::string explain(const Declaration &D, const Service &S, const Upstream &U,
-                    const ZoneClock &Zones, WallTime When) {
+                    const TimeZoneClock &Zones, WallTime When) {
   if (isEvacuated(D, U))
     return "data hall \"" + U.DataHall_ + "\" is evacuated";
   std::string First;
@@ -141,8 +141,10 @@
   return First.empty() ? "the service has no selector" : First;
 }
 
-std::vector<std::size_t> eligible(const Declaration &D, const Service &S,
-                                  const ZoneClock &Zones, WallTime When) {
+std::vector<std::size_t> eligibleUpstreams(const Declaration &D,
+                                           const Service &S,
+                                           const TimeZoneClock &Zones,
+                                           WallTime When) {
   std::vector<bool> Active;
   for (const Selector &Which : D.Selectors_)
     Active.push_back(&D.Services_[Which.Service_] == &S &&
@@ -152,7 +154,7 @@
 }
 
 Problems checkWeek(const Declaration &D, const std::string &File,
-                   const ZoneClock &Zones, WallTime From) {
+                   const TimeZoneClock &Zones, WallTime From) {
   constexpr int MinutesInWeek = DaysInWeek * MinutesInDay;
   ProblemList Found(File);
   checkEvacuated(D, Found);
--- a/src/declaration.cc
+++ b/src/declaration.cc
@@ -22,7 +22,7 @@
 /// Reads one document into a declaration; one function a part.
 class Parser {
 public:
-  Parser(const std::string &File, const ZoneClock &Zones)
+  Parser(const std::string &File, const TimeZoneClock &Zones)
       : Found_(File), Zones_(Zones) {}
 
   DeclarationPtr parse(std::string Text);
@@ -48,7 +48,7 @@
   }
 
   ProblemList Found_;
-  const ZoneClock &Zones_;
+  const TimeZoneClock &Zones_;
   Declaration Result_;
   std::map<std::string, std::map<std::uint32_t, std::string>> Claimed_;
   std::set<std::uint16_t> Ports_;
@@ -56,7 +56,7 @@
 };
 
 DeclarationPtr Parser::parse(std::string Text) {
-  if (Text.size() > MaxDocument) {
+  if (Text.size() > MaxDocumentBytes) {
     Found_.add("(document)", "is larger than 1 MB");
     return nullptr;
   }
@@ -105,10 +105,10 @@
   claim("services", S.Name_, Path);
   S.Port_ = static_cast<std::uint16_t>(Reader.integer("port", 1, 65535));
   if (!Ports_.insert(S.Port_).second)
-    Reader.fault("port", "is the port of another service");
-  S.DeadlineAfter_ = std::chrono::milliseconds(
+    Reader.addProblem("port", "is the port of another service");
+  S.DefaultTimeout_ = std::chrono::milliseconds(
       Reader.integerOr("deadline_ms", 2000, 1, MaxDeadlineMs));
-  S.InFlightPerSlot_ = static_cast<std::uint32_t>(
+  S.MaxInFlightPerSlot_ = static_cast<std::uint32_t>(
       Reader.integerOr("in_flight_per_slot", 64, 1, 100'000));
   S.RetryBudget_ = Reader.numberOr("retry_budget", 0.1, 0, 1);
   Reader.finish();
@@ -121,14 +121,14 @@
   if (!Object)
     return Result;
   if (!Object->is_object()) {
-    Reader.fault("labels", "must be an object");
+    Reader.addProblem("labels", "must be an object");
     return Result;
   }
   for (const auto &[Key, Value] : Object->items()) {
     if (Value.is_string())
       Result[Key] = Value.get<std::string>();
     else
-      Reader.fault(("labels." + Key).c_str(), "must be a string");
+      Reader.addProblem(("labels." + Key).c_str(), "must be a string");
   }
   return Result;
 }
@@ -139,9 +139,9 @@
   U.Name_ = Reader.string("name");
   U.Id_ = static_cast<UpstreamId>(nameId(U.Name_));
   claim("upstreams", U.Name_, Path);
-  U.At_ = Reader.endpoint("address");
-  if (!U.At_.empty() && !Addresses_.insert(U.At_).second)
-    Reader.fault("address", "is the address of another upstream");
+  U.Address_ = Reader.endpoint("address");
+  if (!U.Address_.empty() && !Addresses_.insert(U.At_).second)
+    Reader.addProblem("address", "is the address of another upstream");
   U.DataHall_ = Reader.string("data_hall");
   U.Slots_ = static_cast<std::uint32_t>(Reader.integerOr("slots", 1, 1, 10000));
   U.RemembersRequests_ = Reader.booleanOr("remembers_requests", false);
@@ -168,14 +168,14 @@
   auto Known = std::find_if(Result_.Services_.begin(), Result_.Services_.end(),
                             [&](const Service &K) { return K.Name_ == Name; });
   if (Known == Result_.Services_.end() && !Name.empty())
-    Reader.fault("service", "\"" + Name + "\" is not a declared service");
+    Reader.addProblem("service", "\"" + Name + "\" is not a declared service");
   S.Service_ = static_cast<std::size_t>(Known - Result_.Services_.begin());
   each(Reader.array("terms"), (Path + ".terms").c_str(),
        [&](const Json &Item, const std::string &At) {
          S.Terms_.push_back(readTerm(Item, At));
        });
   if (S.Terms_.empty() && Reader.has("terms"))
-    Reader.fault("terms", "must have at least one term");
+    Reader.addProblem("terms", "must have at least one term");
   if (const Json *Item = Reader.objectOrNull("window"))
     S.Window_ = readWindow(*Item, Path + ".window");
   Reader.finish();
@@ -206,19 +206,19 @@
   if (Known != Operators.end())
     T.Operator_ = Known->second;
   else if (!Name.empty())
-    Reader.fault("op", "must be in, notin, exists or absent");
+    Reader.addProblem("op", "must be in, notin, exists or absent");
   for (const Json &Value : Reader.array("values", false)) {
     if (Value.is_string())
       T.Values_.push_back(Value.get<std::string>());
     else
-      Reader.fault("values", "must hold strings only");
+      Reader.addProblem("values", "must hold strings only");
   }
   bool Needs =
       T.Operator_ == Term::Operator::In || T.Operator_ == Term::Operator::NotIn;
   if (Needs && T.Values_.empty())
-    Reader.fault("values", "must have at least one value for this op");
+    Reader.addProblem("values", "must have at least one value for this op");
   if (!Needs && !T.Values_.empty())
-    Reader.fault("values", "has no meaning for this op");
+    Reader.addProblem("values", "has no meaning for this op");
   Reader.finish();
   return T;
 }
@@ -236,7 +236,7 @@
   }
   bool Good = (Hour < 24 && Minute < 60) || (Hour == 24 && Minute == 0);
   if (!Good && !Text.empty())
-    Reader.fault(Key, "must be a time of day from 00:00 to 24:00");
+    Reader.addProblem(Key, "must be a time of day from 00:00 to 24:00");
   return Good ? static_cast<std::uint16_t>(Hour * 60 + Minute) : 0;
 }
 
@@ -249,30 +249,31 @@
     auto Known = std::find(std::begin(DayNames), std::end(DayNames),
                            Value.is_string() ? Value.get<std::string>() : "");
     if (Known == std::end(DayNames))
-      Reader.fault("days", "must hold days such as \"mon\"");
+      Reader.addProblem("days", "must hold days such as \"mon\"");
     else
       W.Days_ |= static_cast<std::uint8_t>(1 << (Known - DayNames));
   }
   if (W.Days_ == 0)
-    Reader.fault("days", "must name at least one day");
-  W.From_ = readMinute(Reader, "from");
-  W.To_ = readMinute(Reader, "to");
-  if (W.From_ == W.To_)
-    Reader.fault("to", "must differ from \"from\"");
-  if (W.From_ == MinutesInDay)
-    Reader.fault("from", "must be before 24:00");
-  W.Zone_ = Reader.string("zone");
-  if (!W.Zone_.empty() && !Zones_(W.Zone_, WallTime{}))
-    Reader.fault("zone", "\"" + W.Zone_ + "\" is not an IANA time zone");
+    Reader.addProblem("days", "must name at least one day");
+  W.FromMinute_ = readMinute(Reader, "from");
+  W.ToMinute_ = readMinute(Reader, "to");
+  if (W.FromMinute_ == W.ToMinute_)
+    Reader.addProblem("to", "must differ from \"from\"");
+  if (W.FromMinute_ == MinutesInDay)
+    Reader.addProblem("from", "must be before 24:00");
+  W.TimeZone_ = Reader.string("zone");
+  if (!W.TimeZone_.empty() && !Zones_(W.TimeZone_, WallTime{}))
+    Reader.addProblem("zone",
+                      "\"" + W.TimeZone_ + "\" is not an IANA time zone");
   Reader.finish();
   return W;
 }
 
 } // namespace
 
-boost::leaf::result<DeclarationPtr> parseDeclaration(std::string Text,
-                                                     const std::string &File,
-                                                     const ZoneClock &Zones) {
+boost::leaf::result<DeclarationPtr>
+parseDeclaration(std::string Text, const std::string &File,
+                 const TimeZoneClock &Zones) {
   Parser P(File, Zones);
   if (DeclarationPtr Result = P.parse(std::move(Text)))
     return Result;
--- a/src/host-list.cc
+++ b/src/host-list.cc
@@ -16,9 +16,9 @@
   std::string Role = Reader.string("role");
   std::string State = Reader.string("state");
   if (Role != "balancer" && Role != "upstream")
-    Reader.fault("role", "must be balancer or upstream");
+    Reader.addProblem("role", "must be balancer or upstream");
   if (State != "live" && State != "leaving")
-    Reader.fault("state", "must be live or leaving");
+    Reader.addProblem("state", "must be live or leaving");
   H.Role_ = Role == "upstream" ? Host::Role::Upstream : Host::Role::Balancer;
   H.Leaving_ = State == "leaving";
   if (H.Role_ == Host::Role::Balancer) {
--- a/src/json-reader.cc
+++ b/src/json-reader.cc
@@ -34,7 +34,7 @@
   return Path_.empty() ? Key : Path_ + "." + Key;
 }
 
-void ObjectReader::fault(const char *Key, std::string Reason) {
+void ObjectReader::addProblem(const char *Key, std::string Reason) {
   Found_.add(path(Key), std::move(Reason));
 }
 
@@ -52,7 +52,7 @@
   bool Good = Value && Value->is_string() && !Value->get<std::string>().empty();
   if (Good)
     return Value->get<std::string>();
-  fault(Key, Value ? "must be a string that is not empty" : "is missing");
+  addProblem(Key, Value ? "must be a string that is not empty" : "is missing");
   return {};
 }
 
@@ -65,7 +65,7 @@
                                    std::int64_t Max) {
   const Json *Value = find(Key);
   if (!Value) {
-    fault(Key, "is missing");
+    addProblem(Key, "is missing");
     return Min;
   }
   bool TooLarge = Value->is_number_unsigned() &&
@@ -75,7 +75,7 @@
               Value->get<std::int64_t>() <= Max;
   if (Good)
     return Value->get<std::int64_t>();
-  fault(Key, rangeText(Min, Max));
+  addProblem(Key, rangeText(Min, Max));
   return Min;
 }
 
@@ -94,8 +94,8 @@
               Value->get<double>() <= Max;
   if (Good)
     return Value->get<double>();
-  fault(Key, "must be a number from " + std::to_string(Min) + " to " +
-                 std::to_string(Max));
+  addProblem(Key, "must be a number from " + std::to_string(Min) + " to " +
+                      std::to_string(Max));
   return Default;
 }
 
@@ -105,7 +105,7 @@
     return Default;
   if (Value->is_boolean())
     return Value->get<bool>();
-  fault(Key, "must be true or false");
+  addProblem(Key, "must be true or false");
   return Default;
 }
 
@@ -115,7 +115,7 @@
     return {};
   Endpoint Where = parseEndpoint(Text);
   if (Where.empty())
-    fault(Key, "must be an IP number and port, such as 192.0.2.1:7000");
+    addProblem(Key, "must be an IP number and port, such as 192.0.2.1:7000");
   return Where;
 }
 
@@ -124,9 +124,9 @@
   if (Value && Value->is_array())
     return *Value;
   if (Value)
-    fault(Key, "must be an array");
+    addProblem(Key, "must be an array");
   else if (Required)
-    fault(Key, "is missing");
+    addProblem(Key, "is missing");
   return EmptyArray;
 }
 
@@ -137,7 +137,7 @@
     return;
   for (const auto &[Key, Value] : Object_.items())
     if (Asked_.count(Key) == 0)
-      fault(Key.c_str(), "is not a known key");
+      addProblem(Key.c_str(), "is not a known key");
 }
 
 std::vector<Endpoint> readEndpoints(ObjectReader &Reader, const char *Key,
--- a/src/json-reader.h
+++ b/src/json-reader.h
@@ -49,7 +49,7 @@
   const Json *objectOrNull(const char *Key);
   bool has(const char *Key) const;
   std::string path(const char *Key) const;
-  void fault(const char *Key, std::string Reason);
+  void addProblem(const char *Key, std::string Reason);
   void finish();
 
 private:
--- a/src/load-run.cc
+++ b/src/load-run.cc
@@ -34,7 +34,7 @@
   std::uint64_t Id_ = 0;
   std::uint32_t Number_ = 0;
   bool Once_ = false;
-  SealedRoute Route_;
+  SignedRoute Route_;
   SteadyTime SentAt_;
   SteadyTime ResendAt_;
   SteadyTime GiveUpAt_;
@@ -50,7 +50,7 @@
   State State_ = State::Waiting;
   SteadyTime NextAt_;
   SteadyTime PingAt_;
-  SealedRoute Route_;
+  SignedRoute Route_;
   Pending Pending_;
   std::uint32_t Requests_ = 0; ///< Done so far.
   std::uint32_t Number_ = 0;
@@ -77,7 +77,7 @@
       std::chrono::system_clock::now().time_since_epoch()));
 }
 
-void keep(SealedRoute &Into, Bytes From) {
+void keep(SignedRoute &Into, Bytes From) {
   if (From.empty() || From.Size_ > MaxRoute)
     return;
   std::memcpy(Into.Bytes_.data(), From.Data_, From.Size_);
--- a/src/message.cc
+++ b/src/message.cc
@@ -62,7 +62,7 @@
     if (Where.empty())
       return bytes({});
     std::uint8_t Raw[EndpointSize];
-    std::memcpy(Raw, Where.Address_.data(), Where.Address_.size());
+    std::memcpy(Raw, Where.Ip_.data(), Where.Ip_.size());
     Raw[16] = static_cast<std::uint8_t>(Where.Port_ >> 8);
     Raw[17] = static_cast<std::uint8_t>(Where.Port_);
     bytes({Raw, sizeof Raw});
@@ -152,7 +152,7 @@
     Ok_ = Raw.Size_ == EndpointSize;
     if (!Ok_)
       return Result;
-    std::memcpy(Result.Address_.data(), Raw.Data_, Result.Address_.size());
+    std::memcpy(Result.Ip_.data(), Raw.Data_, Result.Ip_.size());
     Result.Port_ =
         static_cast<std::uint16_t>(Raw.Data_[16] << 8 | Raw.Data_[17]);
     return Result;
--- a/src/news-message.cc
+++ b/src/news-message.cc
@@ -92,10 +92,10 @@
   for (const auto &[Id, Name] : Table.ServiceNames_)
     Names.push_back(Name);
   Json Cold = Json::array();
-  for (const auto &[Id, PerSecond] : Table.ColdPerSecond_)
+  for (const auto &[Id, PerSecond] : Table.ColdFlowsPerSecond_)
     Cold.push_back(Json::array({Id, PerSecond}));
   return Json::array(
-      {Table.Version_, Addresses, Names, Table.IdleLimit_.count(), Cold});
+      {Table.Version_, Addresses, Names, Table.IdleTimeout_.count(), Cold});
 }
 
 Json toJson(const EvacuationBatch &Batch) {
@@ -181,9 +181,9 @@
   for (const Json &Name : J.at(2))
     Table->ServiceNames_[nameId(Name.get<std::string>())] =
         Name.get<std::string>();
-  Table->IdleLimit_ = Micros(J.at(3).get<std::int64_t>());
+  Table->IdleTimeout_ = Micros(J.at(3).get<std::int64_t>());
   for (const Json &Item : J.at(4))
-    Table->ColdPerSecond_[Item.at(0).get<std::uint32_t>()] =
+    Table->ColdFlowsPerSecond_[Item.at(0).get<std::uint32_t>()] =
         Item.at(1).get<double>();
   return Table;
 }
--- a/src/packet-balancer-addresses.cc
+++ b/src/packet-balancer-addresses.cc
@@ -43,7 +43,7 @@
                                         std::uint32_t From) const {
   const Detail &By = Details_[Index];
   const Detail &Of = Details_[From];
-  if (!Routing_ || !Routing_->names(By.Service_))
+  if (!Routing_ || !Routing_->knowsService(By.Service_))
     return false;
   if (By.BornMs_ != 0 && Of.BornMs_ != 0)
     return By.BornMs_ > Of.BornMs_;
--- a/src/packet-balancer-impl.h
+++ b/src/packet-balancer-impl.h
@@ -57,7 +57,7 @@
   void tick(MonoTime Now);
   void setFleet(FleetView View) { Cold_.setFleet(std::move(View)); }
   bool limitsCold() const {
-    return Routing_ && !Routing_->ColdPerSecond_.empty();
+    return Routing_ && !Routing_->ColdFlowsPerSecond_.empty();
   }
   void setLimits(Micros ResetWhenKnown, Micros FlowLimit, double ColdOver,
                  double ColdSlack) {
--- a/src/packet-balancer.cc
+++ b/src/packet-balancer.cc
@@ -47,7 +47,7 @@
 Verdict PacketBalancer::Impl::refuse(const Packet &P, ErrorKind Why) {
   ++Counters_.Errors_[static_cast<std::size_t>(Why)];
   decide(Decision::Kind::Refused, P, UpstreamTable::None, Why, 0);
-  bool Resets = errorRow(Why).Answer_ == Answer::Reset && !P.Resets_;
+  bool Resets = errorRow(Why).Response_ == ErrorResponse::Reset && !P.Resets_;
   if (!Resets)
     return Dropped{Why};
   ++Counters_.Resets_;
@@ -65,7 +65,7 @@
     if (Now_ - Row->Since_ >= openingWait())
       noteSilence(Before);
   }
-  ServiceId Service = drawService(Shares, Flow);
+  ServiceId Service = chooseService(Shares, Flow);
   std::uint32_t Index = choose(Service, Flow, Copy, Before);
   if (Index == UpstreamTable::None)
     return refuse(P, whyNone(Service));
@@ -112,7 +112,7 @@
   if (Serving_)
     noteSilence(Before);
   std::uint32_t Index =
-      choose(drawService(*Shares, Flow), Flow, RetryDraw, Before);
+      choose(chooseService(*Shares, Flow), Flow, RetryDraw, Before);
   if (Index == UpstreamTable::None || Index == Before)
     return Dropped{};
   ++Counters_.OpenRetried_;
@@ -179,7 +179,7 @@
 ColdLimit PacketBalancer::Impl::coldLimit(ServiceId Service) const {
   ColdLimit Limit = Options_.Cold_;
   bool Limits = detail::has(detail::Mechanism::ColdLimits);
-  Limit.PerSecond_ = Limits ? Routing_->coldPerSecond(Service) : 0;
+  Limit.PerSecond_ = Limits ? Routing_->coldFlowsPerSecond(Service) : 0;
   return Limit;
 }
 
--- a/src/packet-pages.cc
+++ b/src/packet-pages.cc
@@ -81,7 +81,7 @@
 }
 
 Json upstreamJson(const PacketReport &R, const SteeredUpstream &U) {
-  std::string Service = R.Routing_ ? R.Routing_->nameOf(U.Service_)
+  std::string Service = R.Routing_ ? R.Routing_->serviceName(U.Service_)
                                    : std::to_string(raw(U.Service_));
   return {{"name", formatIncarnation(U.Incarnation_)},
           {"address", formatEndpoint(U.Row_.At_)},
@@ -100,7 +100,7 @@
     Json List = Json::array();
     for (const ServiceShare &S : Shares)
       List.push_back(
-          {{"service", Table.nameOf(S.Service_)}, {"weight", S.Weight_}});
+          {{"service", Table.serviceName(S.Service_)}, {"weight", S.Weight_}});
     Result.push_back({{"address", formatEndpoint(At)}, {"shares", List}});
   }
   return Result;
--- a/src/packet-process-control.cc
+++ b/src/packet-process-control.cc
@@ -81,7 +81,7 @@
 }
 
 std::string PacketProcess::Impl::tenant(ServiceId Id) const {
-  return Routing_ ? Routing_->nameOf(Id) : std::to_string(raw(Id));
+  return Routing_ ? Routing_->serviceName(Id) : std::to_string(raw(Id));
 }
 
 void PacketProcess::Impl::awaitSignal() {
--- a/src/platform-client.cc
+++ b/src/platform-client.cc
@@ -18,8 +18,8 @@
 constexpr auto WatchFor = 5s;
 constexpr std::chrono::milliseconds RetryAfter = 300ms;
 constexpr auto TakenWithin = 200ms;
-const char *const Paths[DocumentKinds] = {"/v1/watch/declaration",
-                                          "/v1/watch/hosts"};
+const char *const Paths[DocumentKindCount] = {"/v1/watch/declaration",
+                                              "/v1/watch/hosts"};
 
 } // namespace
 
@@ -28,7 +28,7 @@
   Impl(asio::io_context &Context, const Endpoint &Platform, Handler OnAnswer)
       : Context_(Context), OnAnswer_(std::move(OnAnswer)) {
     std::string Url = "http://" + formatEndpoint(Platform);
-    for (std::size_t K = 0; K < DocumentKinds; ++K) {
+    for (std::size_t K = 0; K < DocumentKindCount; ++K) {
       Clients_[K] = std::make_unique<httplib::Client>(Url);
       Clients_[K]->set_connection_timeout(1s);
       Clients_[K]->set_read_timeout(WatchFor + 2s);
@@ -48,9 +48,11 @@
       T.join();
   }
 
-  void setKnown(std::size_t Kind, Version Known) { Known_[Kind] = Known; }
+  void setKnownVersion(std::size_t Kind, Version Known) {
+    Known_[Kind] = Known;
+  }
 
-  void setLongestPause(std::chrono::milliseconds Pause) {
+  void setMaxRetryDelay(std::chrono::milliseconds Pause) {
     LongestPauseMs_ = std::max(Pause, RetryAfter).count();
   }
 
@@ -62,8 +64,8 @@
     Changed_.notify_all();
   }
 
-  void readNow(std::uint64_t Asked) {
-    Asked_ = Asked;
+  void readNow(std::uint64_t RefreshId) {
+    RefreshId_ = RefreshId;
     {
       std::lock_guard<std::mutex> Guard(Mutex_);
       ReadNow_.fill(true);
@@ -99,8 +101,8 @@
       ReadNow_[Kind] = ReadNow_[Kind] || !Wait; // a failed read is repeated
       std::uniform_real_distribution<double> Spread(0.5, 1);
       Changed_.wait_for(Guard, Pause * Spread(Random),
-                        [&] { return Ending_ || Asked_ != Heeded_[Kind]; });
-      Heeded_[Kind] = Asked_;
+                        [&] { return Ending_ || RefreshId_ != Heeded_[Kind]; });
+      Heeded_[Kind] = RefreshId_;
       Pause = std::min(Pause * 2, std::chrono::milliseconds(LongestPauseMs_));
     }
   }
@@ -108,7 +110,7 @@
   bool call(std::size_t Kind, bool Wait) {
     ++Calls_;
     PlatformAnswer Answer;
-    Answer.Asked_ = Asked_;
+    Answer.RefreshId_ = RefreshId_;
     auto WaitMs = std::chrono::milliseconds(Wait ? WatchFor : 0s).count();
     std::string Path = std::string(Paths[Kind]) +
                        "?after=" + std::to_string(Known_[Kind]) +
@@ -137,35 +139,37 @@
 
   asio::io_context &Context_;
   Handler OnAnswer_;
-  std::array<std::unique_ptr<httplib::Client>, DocumentKinds> Clients_;
-  std::array<std::string, DocumentKinds> Last_; ///< Own thread's only.
-  std::array<std::atomic<Version>, DocumentKinds> Known_{};
+  std::array<std::unique_ptr<httplib::Client>, DocumentKindCount> Clients_;
+  std::array<std::string, DocumentKindCount> Last_; ///< Own thread's only.
+  std::array<std::atomic<Version>, DocumentKindCount> Known_{};
   std::atomic<std::uint64_t> Calls_{0};
-  std::atomic<std::uint64_t> Asked_{0};
+  std::atomic<std::uint64_t> RefreshId_{0};
   std::atomic<std::int64_t> LongestPauseMs_{RetryAfter.count()};
-  std::array<std::uint64_t, DocumentKinds> Heeded_{}; ///< Guarded.
+  std::array<std::uint64_t, DocumentKindCount> Heeded_{}; ///< Guarded.
   std::mutex Mutex_;
   std::condition_variable Changed_;
-  std::array<bool, DocumentKinds> ReadNow_{true, true};
+  std::array<bool, DocumentKindCount> ReadNow_{true, true};
   bool Watching_ = false;
   bool Ending_ = false;
-  std::array<std::thread, DocumentKinds> Threads_; ///< Start last.
+  std::array<std::thread, DocumentKindCount> Threads_; ///< Start last.
 };
 
 PlatformClient::PlatformClient(asio::io_context &Context,
                                const Endpoint &Platform, Handler OnAnswer)
     : Impl_(std::make_unique<Impl>(Context, Platform, std::move(OnAnswer))) {}
 PlatformClient::~PlatformClient() = default;
-void PlatformClient::setKnown(DocumentKind Kind, Version Known) {
-  Impl_->setKnown(raw(Kind), Known);
+void PlatformClient::setKnownVersion(DocumentKind Kind, Version Known) {
+  Impl_->setKnownVersion(raw(Kind), Known);
 }
 void PlatformClient::setWatching(bool Watching) {
   Impl_->setWatching(Watching);
 }
-void PlatformClient::setLongestPause(std::chrono::milliseconds Pause) {
-  Impl_->setLongestPause(Pause);
+void PlatformClient::setMaxRetryDelay(std::chrono::milliseconds Pause) {
+  Impl_->setMaxRetryDelay(Pause);
+}
+void PlatformClient::readNow(std::uint64_t RefreshId) {
+  Impl_->readNow(RefreshId);
 }
-void PlatformClient::readNow(std::uint64_t Asked) { Impl_->readNow(Asked); }
 std::uint64_t PlatformClient::calls() const { return Impl_->calls(); }
 
 } // namespace thymewall::detail
--- a/src/platform-client.h
+++ b/src/platform-client.h
@@ -15,8 +15,8 @@
 /// What the platform said about one document.
 struct PlatformAnswer {
   DocumentKind Kind_ = DocumentKind::Declaration;
-  std::string Text_;        ///< Empty when there is nothing newer.
-  std::uint64_t Asked_ = 0; ///< Of the last `readNow` before the call.
+  std::string Text_;            ///< Empty when there is nothing newer.
+  std::uint64_t RefreshId_ = 0; ///< Of the last `readNow` before the call.
 };
 
 class PlatformClient {
@@ -28,14 +28,14 @@
   ~PlatformClient();
 
   /// The version from which the next call watches on.
-  void setKnown(DocumentKind Kind, Version Known);
+  void setKnownVersion(DocumentKind Kind, Version Known);
   /// Whether to keep a watch open; one read is made at the start anyway.
   void setWatching(bool Watching);
   /// Longest pause after failed calls; each failure doubles the pause up to
   /// it, so that a platform that comes back is not met by all at once.
-  void setLongestPause(std::chrono::milliseconds Pause);
+  void setMaxRetryDelay(std::chrono::milliseconds Pause);
   /// Reads every document once, now.
-  void readNow(std::uint64_t Asked);
+  void readNow(std::uint64_t RefreshId);
   /// Calls made so far: each counts against the platform's budget.
   std::uint64_t calls() const;
 
--- a/src/route.cc
+++ b/src/route.cc
@@ -9,9 +9,9 @@
 
 bool operator==(const Route &A, const Route &B) {
   auto Fields = [](const Route &R) {
-    return std::tie(R.Service_, R.Flow_, R.Upstream_, R.UpstreamAt_,
-                    R.UpstreamIncarnation_, R.Placed_, R.HomeAt_, R.Home_,
-                    R.Epoch_);
+    return std::tie(R.Service_, R.Flow_, R.Upstream_, R.UpstreamAddress_,
+                    R.UpstreamIncarnation_, R.PlacedVersion_, R.HomeAddress_,
+                    R.HomeIncarnation_, R.Epoch_);
   };
   return Fields(A) == Fields(B);
 }
@@ -35,8 +35,8 @@
       *At_++ = static_cast<std::uint8_t>(Value >> (8 * I));
   }
   void put(const Endpoint &Where) {
-    std::memcpy(At_, Where.Address_.data(), Where.Address_.size());
-    At_ += Where.Address_.size();
+    std::memcpy(At_, Where.Ip_.data(), Where.Ip_.size());
+    At_ += Where.Ip_.size();
     put(Where.Port_);
   }
   template <typename T> T get() {
@@ -47,8 +47,8 @@
   }
   Endpoint getEndpoint() {
     Endpoint Where;
-    std::memcpy(Where.Address_.data(), At_, Where.Address_.size());
-    At_ += Where.Address_.size();
+    std::memcpy(Where.Ip_.data(), At_, Where.Ip_.size());
+    At_ += Where.Ip_.size();
     Where.Port_ = get<std::uint16_t>();
     return Where;
   }
@@ -71,16 +71,16 @@
 
 } // namespace
 
-SealedRoute seal(const Route &R, const SecretKey &Secret) {
-  SealedRoute Sealed;
+SignedRoute signRoute(const Route &R, const SecretKey &Secret) {
+  SignedRoute Sealed;
   Cursor<std::uint8_t> C(Sealed.Bytes_.data());
   C.put(Layout);
   C.put(raw(R.Upstream_));
-  C.put(R.UpstreamAt_);
+  C.put(R.UpstreamAddress_);
   C.put(raw(R.UpstreamIncarnation_));
-  C.put(R.Placed_);
-  C.put(R.HomeAt_);
-  C.put(raw(R.Home_));
+  C.put(R.PlacedVersion_);
+  C.put(R.HomeAddress_);
+  C.put(raw(R.HomeIncarnation_));
   C.put(R.Epoch_);
   makeTag(Sealed.Bytes_.data(), R.Service_, R.Flow_, Secret,
           Sealed.Bytes_.data() + BodySize);
@@ -88,8 +88,8 @@
   return Sealed;
 }
 
-ErrorKind open(Bytes Sealed, const KeyPair &Keys, ServiceId Service,
-               FlowId Flow, Route &R) {
+ErrorKind verifyRoute(Bytes Sealed, const KeyPair &Keys, ServiceId Service,
+                      FlowId Flow, Route &R) {
   if (Sealed.Size_ != RouteSize || Sealed.Data_[0] != Layout)
     return ErrorKind::ForgedRoute;
   bool Known = false;
@@ -105,11 +105,11 @@
   R.Service_ = Service;
   R.Flow_ = Flow;
   R.Upstream_ = static_cast<UpstreamId>(C.get<std::uint32_t>());
-  R.UpstreamAt_ = C.getEndpoint();
+  R.UpstreamAddress_ = C.getEndpoint();
   R.UpstreamIncarnation_ = static_cast<Incarnation>(C.get<std::uint64_t>());
-  R.Placed_ = C.get<std::uint64_t>();
-  R.HomeAt_ = C.getEndpoint();
-  R.Home_ = static_cast<Incarnation>(C.get<std::uint64_t>());
+  R.PlacedVersion_ = C.get<std::uint64_t>();
+  R.HomeAddress_ = C.getEndpoint();
+  R.HomeIncarnation_ = static_cast<Incarnation>(C.get<std::uint64_t>());
   R.Epoch_ = C.get<std::uint32_t>();
   return ErrorKind::None;
 }
--- a/src/routing.cc
+++ b/src/routing.cc
@@ -15,7 +15,7 @@
 } // namespace
 
 std::size_t EndpointHash::operator()(const Endpoint &At) const {
-  return XXH64(At.Address_.data(), At.Address_.size(), At.Port_);
+  return XXH64(At.Ip_.data(), At.Ip_.size(), At.Port_);
 }
 
 FlowId flowOf(const Packet &P) {
@@ -28,7 +28,7 @@
   return Known == Addresses_.end() ? nullptr : &Known->second;
 }
 
-bool RoutingTable::names(ServiceId Id) const {
+bool RoutingTable::knowsService(ServiceId Id) const {
   auto LeadsThere = [Id](const auto &Item) {
     return std::any_of(
         Item.second.begin(), Item.second.end(),
@@ -38,17 +38,17 @@
          std::any_of(Addresses_.begin(), Addresses_.end(), LeadsThere);
 }
 
-double RoutingTable::coldPerSecond(ServiceId Id) const {
-  auto Known = ColdPerSecond_.find(raw(Id));
-  return Known == ColdPerSecond_.end() ? 0 : Known->second;
+double RoutingTable::coldFlowsPerSecond(ServiceId Id) const {
+  auto Known = ColdFlowsPerSecond_.find(raw(Id));
+  return Known == ColdFlowsPerSecond_.end() ? 0 : Known->second;
 }
 
-std::string RoutingTable::nameOf(ServiceId Id) const {
+std::string RoutingTable::serviceName(ServiceId Id) const {
   auto Known = ServiceNames_.find(raw(Id));
   return Known == ServiceNames_.end() ? std::to_string(raw(Id)) : Known->second;
 }
 
-ServiceId drawService(const std::vector<ServiceShare> &Shares, FlowId Flow) {
+ServiceId chooseService(const std::vector<ServiceShare> &Shares, FlowId Flow) {
   if (Shares.size() == 1)
     return Shares.front().Service_;
   std::uint64_t Sum = 0;
--- a/src/settings.cc
+++ b/src/settings.cc
@@ -27,7 +27,8 @@
   const detail::Json &Array = Reader.array("keys");
   bool RightCount = Array.size() == 1 || Array.size() == 2;
   if (!RightCount && Reader.has("keys"))
-    Reader.fault("keys", "must hold one key, or two while one is rotated out");
+    Reader.addProblem("keys",
+                      "must hold one key, or two while one is rotated out");
   if (!RightCount)
     return Result;
   for (std::size_t I = 0; I < Array.size(); ++I)
--- a/src/status-page.cc
+++ b/src/status-page.cc
@@ -35,7 +35,8 @@
     Result.emplace_back(
         "error_" + std::string(errorRow(static_cast<ErrorKind>(I)).Name_),
         C.Errors_[I]);
-  Result.insert(Result.end(), R.Numbers_.begin(), R.Numbers_.end());
+  Result.insert(Result.end(), R.ProcessCounters_.begin(),
+                R.ProcessCounters_.end());
   return Result;
 }
 
--- a/src/status-page.h
+++ b/src/status-page.h
@@ -17,7 +17,7 @@
   Counters Counters_;
   const DelayMetrics *Delays_ = nullptr;
   DeclarationPtr Declaration_;
-  std::vector<std::pair<std::string, std::uint64_t>> Numbers_;
+  std::vector<std::pair<std::string, std::uint64_t>> ProcessCounters_;
 };
 
 std::string statusJson(const StatusReport &R);
--- a/src/udp-socket.cc
+++ b/src/udp-socket.cc
@@ -8,8 +8,8 @@
 namespace {
 
 bool isV4(const Endpoint &Where) {
-  return Where.Address_[10] == 0xff && Where.Address_[11] == 0xff &&
-         std::all_of(Where.Address_.begin(), Where.Address_.begin() + 10,
+  return Where.Ip_[10] == 0xff && Where.Ip_[11] == 0xff &&
+         std::all_of(Where.Ip_.begin(), Where.Ip_.begin() + 10,
                      [](std::uint8_t Byte) { return Byte == 0; });
 }
 
@@ -17,9 +17,9 @@
 
 asio::ip::udp::endpoint toAsio(const Endpoint &Where) {
   if (!isV4(Where))
-    return {asio::ip::address_v6(Where.Address_), Where.Port_};
+    return {asio::ip::address_v6(Where.Ip_), Where.Port_};
   asio::ip::address_v4::bytes_type Four;
-  std::copy_n(Where.Address_.begin() + 12, 4, Four.begin());
+  std::copy_n(Where.Ip_.begin() + 12, 4, Four.begin());
   return {asio::ip::address_v4(Four), Where.Port_};
 }
 
@@ -27,7 +27,7 @@
   if (Where.address().is_v4())
     return Endpoint::v4(Where.address().to_v4().to_uint(), Where.port());
   Endpoint Result;
-  Result.Address_ = Where.address().to_v6().to_bytes();
+  Result.Ip_ = Where.address().to_v6().to_bytes();
   Result.Port_ = Where.port();
   return Result;
 }
--- a/src/upstream-codec.cc
+++ b/src/upstream-codec.cc
@@ -8,7 +8,7 @@
 
 using Json = nlohmann::json;
 
-constexpr std::size_t V4Start = 12; ///< Of an IPv4 address in `Address_`.
+constexpr std::size_t V4Start = 12; ///< Of an IPv4 address in `Ip_`.
 /// Fields of a change without an entry, and with one.
 constexpr std::size_t EndFields = 2;
 constexpr std::size_t EntryFields = 10;
@@ -21,8 +21,8 @@
 
 bool isV4(const Endpoint &At) {
   Endpoint Mapped = Endpoint::v4(0, 0);
-  return std::equal(At.Address_.begin(), At.Address_.begin() + V4Start,
-                    Mapped.Address_.begin());
+  return std::equal(At.Ip_.begin(), At.Ip_.begin() + V4Start,
+                    Mapped.Ip_.begin());
 }
 
 /// An IPv4 address and its port as one number, others as text.
@@ -30,8 +30,8 @@
   if (!isV4(At))
     return formatEndpoint(At);
   std::uint64_t Number = 0;
-  for (std::size_t I = V4Start; I < At.Address_.size(); ++I)
-    Number = Number << 8 | At.Address_[I];
+  for (std::size_t I = V4Start; I < At.Ip_.size(); ++I)
+    Number = Number << 8 | At.Ip_[I];
   return Number << 16 | At.Port_;
 }
 
--- a/src/upstream-table.cc
+++ b/src/upstream-table.cc
@@ -108,7 +108,7 @@
     MonoTime WarmAt = Started_ ? Now + ColdStart : Now;
     if (Known != None)
       WarmAt = Rows_[Known].WarmAt_;
-    std::uint32_t Index = declareOne(U.Id_, U.At_, U.Slots_, WarmAt);
+    std::uint32_t Index = declareOne(U.Id_, U.Address_, U.Slots_, WarmAt);
     Rows_[Index].Remembers_ = U.RemembersRequests_;
   }
   Started_ = true;
--- a/src/zone.cc
+++ b/src/zone.cc
@@ -4,7 +4,7 @@
 
 namespace thymewall {
 
-ZoneClock zoneClock() {
+TimeZoneClock timeZoneClock() {
   return
       [](const std::string &Zone, WallTime When) -> std::optional<LocalMinute> {
         try {
--- a/test/balancer-bench.h
+++ b/test/balancer-bench.h
@@ -19,7 +19,7 @@
 const SecretKey Secret = {1, 2, 3};
 inline const ServiceId Index = static_cast<ServiceId>(nameId("index"));
 
-inline ZoneClock noZones() {
+inline TimeZoneClock noZones() {
   return [](const std::string &, WallTime) { return LocalMinute{}; };
 }
 
@@ -131,8 +131,8 @@
   Balancer Core_;
   ActionSink Sink_;
   Micros Now_ = std::chrono::seconds(1000);
-  SealedRoute Route_;
-  SealedRoute Sealed_;
+  SignedRoute Route_;
+  SignedRoute Sealed_;
   std::optional<ToCaller> Caller_;
   std::optional<ToUpstream> Up_;
   std::optional<ToPeer> Peer_;
--- a/test/balancer-test.cc
+++ b/test/balancer-test.cc
@@ -151,7 +151,7 @@
   B.fromCaller(M);
   CHECK(B.Caller_->Message_.Reason_ == ErrorKind::RouteRequired);
   CHECK(!notRun(B));
-  SealedRoute Forged = B.Route_;
+  SignedRoute Forged = B.Route_;
   Forged.Bytes_[10] ^= 1;
   M.Route_ = Forged.bytes();
   int Told = B.ToCallers_;
--- a/test/cold-admission-test.cc
+++ b/test/cold-admission-test.cc
@@ -34,7 +34,7 @@
 
 RoutingTablePtr limited(Version V, double PerSecond) {
   auto Table = std::make_shared<RoutingTable>(*table(V, {{IndexAt, Index}}));
-  Table->ColdPerSecond_[raw(Index)] = PerSecond;
+  Table->ColdFlowsPerSecond_[raw(Index)] = PerSecond;
   return Table;
 }
 
--- a/test/control-test.cc
+++ b/test/control-test.cc
@@ -40,7 +40,7 @@
   H.Incarnation_ = Incarnation{9};
   H.Leaving_ = true;
   H.Versions_[0] = {5, 6};
-  H.Answers_ = 3;
+  H.RefreshId_ = 3;
   H.Watchers_ = {{BalancerId{7}, 1500}};
   Heartbeat Read = roundTrip(H);
   CHECK(Read.Name_ == H.Name_);
@@ -48,18 +48,19 @@
   CHECK(Read.Incarnation_ == H.Incarnation_);
   CHECK(Read.Leaving_);
   CHECK(Read.Versions_ == H.Versions_);
-  CHECK(Read.Answers_ == 3U);
+  CHECK(Read.RefreshId_ == 3U);
   REQUIRE(Read.Watchers_.size() == 1U);
   CHECK(Read.Watchers_[0].Watcher_ == BalancerId{7});
   CHECK(Read.Watchers_[0].AgeMs_ == 1500U);
-  CHECK(roundTrip(DocumentWanted{DocumentKind::Hosts}).Kind_ ==
+  CHECK(roundTrip(DocumentRequest{DocumentKind::Hosts}).Kind_ ==
         DocumentKind::Hosts);
-  CHECK(roundTrip(DocumentSent{DocumentKind::Hosts, "text"}).Text_ == "text");
-  CHECK(roundTrip(FreshnessAsked{8}).Asked_ == 8U);
+  CHECK(roundTrip(DocumentMessage{DocumentKind::Hosts, "text"}).Text_ ==
+        "text");
+  CHECK(roundTrip(HeartbeatRequest{8}).RefreshId_ == 8U);
   Succession S{Incarnation{1},
                WallTime(Micros(5)),
                {{parseEndpoint("127.0.0.1:1"), Incarnation{2}}}};
-  CHECK(roundTrip(SuccessionSent{S}).Succession_ == S);
+  CHECK(roundTrip(SuccessionMessage{S}).Succession_ == S);
 }
 
 TEST_CASE("damaged control messages are refused and crash nothing") {
@@ -67,7 +68,7 @@
     ControlMessage M;
     auto Text = *rc::gen::arbitrary<std::string>();
     decodeControl(Text, keys(), M);
-    std::string Good = encodeControl(DocumentSent{{}, Text}, secret());
+    std::string Good = encodeControl(DocumentMessage{{}, Text}, secret());
     auto At = *rc::gen::inRange<std::size_t>(0, Good.size());
     Good[At] = static_cast<char>(Good[At] ^ 1);
     RC_ASSERT(decodeControl(Good, keys(), M) == ErrorKind::BadTag);
--- a/test/declaration-test.cc
+++ b/test/declaration-test.cc
@@ -26,7 +26,7 @@
 Problems faultsOf(const std::string &Text) {
   return boost::leaf::try_handle_all(
       [&]() -> boost::leaf::result<Problems> {
-        BOOST_LEAF_CHECK(parseDeclaration(Text, "doc.json", zoneClock()));
+        BOOST_LEAF_CHECK(parseDeclaration(Text, "doc.json", timeZoneClock()));
         return Problems{};
       },
       [](const Problems &Found) { return Found; },
@@ -37,7 +37,7 @@
 
 DeclarationPtr parse(const std::string &Text) {
   return boost::leaf::try_handle_all(
-      [&]() { return parseDeclaration(Text, "doc.json", zoneClock()); },
+      [&]() { return parseDeclaration(Text, "doc.json", timeZoneClock()); },
       [] { return DeclarationPtr(); });
 }
 
@@ -66,8 +66,8 @@
   REQUIRE(D);
   CHECK(D->Version_ == 3U);
   CHECK(D->Services_.size() == 2U);
-  CHECK(D->Services_[0].DeadlineAfter_ == std::chrono::seconds(2));
-  CHECK(formatEndpoint(D->Upstreams_[1].At_) == "10.0.0.2:9000");
+  CHECK(D->Services_[0].DefaultTimeout_ == std::chrono::seconds(2));
+  CHECK(formatEndpoint(D->Upstreams_[1].Address_) == "10.0.0.2:9000");
 }
 
 TEST_CASE("each bad document is refused with its key named") {
@@ -127,7 +127,7 @@
     CHECK(Named);
   }
   CHECK(faultsOf("{").front().Key_ == "(document)");
-  CHECK(faultsOf(std::string(MaxDocument + 1, ' ')).front().Key_ ==
+  CHECK(faultsOf(std::string(MaxDocumentBytes + 1, ' ')).front().Key_ ==
         "(document)");
 }
 
@@ -158,8 +158,8 @@
 TEST_CASE("a window over midnight belongs to the day on which it starts") {
   Window W;
   W.Days_ = 1 << 5; // Friday
-  W.From_ = 22 * 60;
-  W.To_ = 2 * 60;
+  W.FromMinute_ = 22 * 60;
+  W.ToMinute_ = 2 * 60;
   CHECK(contains(W, {5, 23 * 60}));
   CHECK(contains(W, {6, 60}));
   CHECK(!contains(W, {6, 23 * 60}));
@@ -171,7 +171,8 @@
       R"({"from": "08:00", "to": "18:00", "zone": "Europe/Amsterdam"})"));
   REQUIRE(D);
   auto Serves = [&](WallTime When) {
-    return eligible(*D, D->Services_[0], zoneClock(), When).size() == 1U;
+    return eligibleUpstreams(*D, D->Services_[0], timeZoneClock(), When)
+               .size() == 1U;
   };
   // In winter 08:00 is 07:00 UTC; in July (212 days before) it is 06:00 UTC.
   CHECK(!Serves(at(0, 6, 59)));
@@ -186,26 +187,26 @@
   REQUIRE(D);
   const Service &Index = D->Services_[0];
   WallTime Noon = at(0, 12, 0);
-  CHECK(explain(*D, Index, D->Upstreams_[0], zoneClock(), Noon).empty());
-  CHECK(explain(*D, Index, D->Upstreams_[1], zoneClock(), Noon) ==
+  CHECK(explain(*D, Index, D->Upstreams_[0], timeZoneClock(), Noon).empty());
+  CHECK(explain(*D, Index, D->Upstreams_[1], timeZoneClock(), Noon) ==
         "label \"role\" does not match");
-  CHECK(explain(*D, Index, D->Upstreams_[0], zoneClock(), at(0, 19, 0)) ==
+  CHECK(explain(*D, Index, D->Upstreams_[0], timeZoneClock(), at(0, 19, 0)) ==
         "outside the selector's window");
 }
 
 TEST_CASE("the week's gaps and double uses are found") {
   DeclarationPtr Gap =
       parse(withWindow(R"({"from": "08:00", "to": "18:00", "zone": "UTC"})"));
-  Problems Found = checkWeek(*Gap, "f", zoneClock(), at(0, 12, 0));
+  Problems Found = checkWeek(*Gap, "f", timeZoneClock(), at(0, 12, 0));
   REQUIRE(Found.size() == 1U);
   CHECK(Found[0].Key_ == "services.index");
   CHECK(Found[0].Reason_ == "has no upstream from 2026-12-06T18:00Z");
   DeclarationPtr Twice =
       parse(with("/selectors/1/terms/0/values", {"archive", "index"}));
-  Found = checkWeek(*Twice, "f", zoneClock(), at(0, 12, 0));
+  Found = checkWeek(*Twice, "f", timeZoneClock(), at(0, 12, 0));
   REQUIRE(Found.size() == 1U);
   CHECK(Found[0].Key_ == "upstreams.a");
-  CHECK(checkWeek(*parse(Good), "f", zoneClock(), at(0, 0, 0)).empty());
+  CHECK(checkWeek(*parse(Good), "f", timeZoneClock(), at(0, 0, 0)).empty());
 }
 
 TEST_CASE("the shipped deployments are valid at their full sizes") {
@@ -215,10 +216,14 @@
     Text << In.rdbuf();
     DeclarationPtr D = parse(Text.str());
     REQUIRE(D);
-    CHECK(checkWeek(*D, Name, zoneClock(), at(0, 0, 0)).empty());
+    CHECK(checkWeek(*D, Name, timeZoneClock(), at(0, 0, 0)).empty());
     WallTime When = at(0, 0, 0);
-    CHECK(eligible(*D, D->Services_[0], zoneClock(), When).size() == 14U);
-    CHECK(eligible(*D, D->Services_[1], zoneClock(), When).size() == 4U);
+    CHECK(
+        eligibleUpstreams(*D, D->Services_[0], timeZoneClock(), When).size() ==
+        14U);
+    CHECK(
+        eligibleUpstreams(*D, D->Services_[1], timeZoneClock(), When).size() ==
+        4U);
   }
 }
 
@@ -227,8 +232,8 @@
   DeclarationPtr D = parse(with("/evacuated_data_halls", Json::array({"h1"})));
   REQUIRE(D);
   const Service &Index = D->Services_[0];
-  CHECK(eligible(*D, Index, zoneClock(), at(0, 12, 0)).empty());
-  CHECK(explain(*D, Index, D->Upstreams_[0], zoneClock(), at(0, 12, 0)) ==
+  CHECK(eligibleUpstreams(*D, Index, timeZoneClock(), at(0, 12, 0)).empty());
+  CHECK(explain(*D, Index, D->Upstreams_[0], timeZoneClock(), at(0, 12, 0)) ==
         "data hall \"h1\" is evacuated");
   Problems Twice =
       faultsOf(with("/evacuated_data_halls", Json::array({"h1", "h1"})));
@@ -240,7 +245,8 @@
   DeclarationPtr Unknown =
       parse(with("/evacuated_data_halls", Json::array({"h9"})));
   REQUIRE(Unknown);
-  Problems Found = checkWeek(*Unknown, "doc.json", zoneClock(), at(0, 0, 0));
+  Problems Found =
+      checkWeek(*Unknown, "doc.json", timeZoneClock(), at(0, 0, 0));
   REQUIRE(Found.size() == 1);
   CHECK(Found[0].Key_ == "evacuated_data_halls");
 }
--- a/test/fleet.cc
+++ b/test/fleet.cc
@@ -25,7 +25,7 @@
 }
 SecretKey secret() { return {1, 2, 3}; }
 
-ZoneClock noZones() {
+TimeZoneClock noZones() {
   return [](const std::string &, WallTime) { return LocalMinute{}; };
 }
 
--- a/test/fleet.h
+++ b/test/fleet.h
@@ -124,13 +124,13 @@
     FlowId Flow_{};
     ServiceId Service_{};
     Endpoint At_;
-    SealedRoute Route_;
+    SignedRoute Route_;
     bool Open_ = false;
     bool Requesting_ = false;
     std::uint32_t Number_ = 0;
     std::uint64_t Uid_ = 0;
     bool Once_ = false;
-    SealedRoute SentRoute_;
+    SignedRoute SentRoute_;
     Time Deadline_{};
     /// By attempt, each part's run number. Attempts may arrive interleaved.
     std::map<std::uint64_t, std::map<std::uint16_t, std::uint64_t>> Parts_;
--- a/test/news-fleet.cc
+++ b/test/news-fleet.cc
@@ -212,7 +212,7 @@
 }
 
 void NewsFleet::connect(std::size_t From, const Endpoint &Control) {
-  std::size_t To = Control.Address_[14] * 256U + Control.Address_[15] - 1U;
+  std::size_t To = Control.Ip_[14] * 256U + Control.Ip_[15] - 1U;
   std::uint64_t Life = Nodes_[From].Life_;
   Events_.after(2 * LinkDelay, [this, From, To, Control, Life] {
     Node &Here = Nodes_[From];
--- a/test/news-test.cc
+++ b/test/news-test.cc
@@ -221,7 +221,7 @@
 TEST_CASE("evacuated halls and limits of cold upstreams survive their codec") {
   auto Table = std::make_shared<RoutingTable>();
   Table->Version_ = 3;
-  Table->ColdPerSecond_[7] = 2.5;
+  Table->ColdFlowsPerSecond_[7] = 2.5;
   News Told;
   Told.Routing_ = Table;
   Told.Evacuations_ = {true, 9, {{"hall-a", 4, true}, {"hall-b", 9, true}}};
@@ -229,7 +229,7 @@
   REQUIRE(decodeNews(encodeNews(Told, MonoTime{}), MonoTime{}, Out) ==
           ErrorKind::None);
   const News &Heard = std::get<News>(Out);
-  CHECK(Heard.Routing_->coldPerSecond(ServiceId{7}) == 2.5);
+  CHECK(Heard.Routing_->coldFlowsPerSecond(ServiceId{7}) == 2.5);
   CHECK(Heard.Evacuations_.Whole_);
   CHECK(Heard.Evacuations_.Through_ == 9);
   CHECK(Heard.Evacuations_.Changes_ == Told.Evacuations_.Changes_);
@@ -272,7 +272,7 @@
   CHECK(Got.Routing_->Version_ == 7);
   CHECK(*Got.Routing_->find(Endpoint::v4(1, 2)) ==
         std::vector<ServiceShare>{{ServiceId{3}, 4}});
-  CHECK(Got.Routing_->nameOf(static_cast<ServiceId>(nameId("index"))) ==
+  CHECK(Got.Routing_->serviceName(static_cast<ServiceId>(nameId("index"))) ==
         "index");
   CHECK(Got.Upstreams_.Changes_[1].Entry_ == E);
   CHECK(Got.Upstreams_.Changes_[2].Entry_ == Six);
--- a/test/published-test.cc
+++ b/test/published-test.cc
@@ -78,12 +78,12 @@
                           {"store-revision", 15}});
   REQUIRE(A.Routing_);
   CHECK(A.Routing_->Version_ == 7);
-  CHECK(A.Routing_->IdleLimit_ == std::chrono::seconds(15));
+  CHECK(A.Routing_->IdleTimeout_ == std::chrono::seconds(15));
   const auto *Split = A.Routing_->find(parseEndpoint("198.18.0.1:8443"));
   REQUIRE(Split);
   REQUIRE(Split->size() == 2); // no share without weight
   CHECK((*Split)[0].Weight_ == 90);
-  CHECK(A.Routing_->nameOf((*Split)[1].Service_) == "archive");
+  CHECK(A.Routing_->serviceName((*Split)[1].Service_) == "archive");
   CHECK(A.Routing_->find(parseEndpoint("198.18.0.2:8080")));
   CHECK_FALSE(A.Routing_->find(parseEndpoint("198.18.0.2:8443")));
 }
@@ -229,9 +229,9 @@
   StoreAnswer A = decode(
       {{"items", {item("op/config", Document, 12)}}, {"store-revision", 15}});
   REQUIRE(A.Routing_);
-  CHECK(A.Routing_->coldPerSecond(static_cast<ServiceId>(nameId("index"))) ==
-        2.5);
-  CHECK(A.Routing_->ColdPerSecond_.size() == 1);
+  CHECK(A.Routing_->coldFlowsPerSecond(
+            static_cast<ServiceId>(nameId("index"))) == 2.5);
+  CHECK(A.Routing_->ColdFlowsPerSecond_.size() == 1);
   Document["backends"][0]["warmup-per-s"] = -1;
   A = decode(
       {{"items", {item("op/config", Document, 12)}}, {"store-revision", 15}});
--- a/test/route-test.cc
+++ b/test/route-test.cc
@@ -11,11 +11,11 @@
   R.Service_ = ServiceId{1};
   R.Flow_ = FlowId{2};
   R.Upstream_ = UpstreamId{3};
-  R.UpstreamAt_ = parseEndpoint("192.0.2.7:9000");
+  R.UpstreamAddress_ = parseEndpoint("192.0.2.7:9000");
   R.UpstreamIncarnation_ = Incarnation{4};
-  R.Placed_ = 5;
-  R.HomeAt_ = parseEndpoint("[2001:db8::1]:7100");
-  R.Home_ = Incarnation{6};
+  R.PlacedVersion_ = 5;
+  R.HomeAddress_ = parseEndpoint("[2001:db8::1]:7100");
+  R.HomeIncarnation_ = Incarnation{6};
   R.Epoch_ = 7;
   return R;
 }
@@ -26,36 +26,36 @@
 } // namespace
 
 TEST_CASE("a route opens under the current and the previous key") {
-  SealedRoute Sealed = seal(sample(), Old);
+  SignedRoute Sealed = signRoute(sample(), Old);
   Route R;
-  CHECK(open(Sealed.bytes(), {Old, Old}, ServiceId{1}, FlowId{2}, R) ==
+  CHECK(verifyRoute(Sealed.bytes(), {Old, Old}, ServiceId{1}, FlowId{2}, R) ==
         ErrorKind::None);
   CHECK(R == sample());
-  CHECK(open(Sealed.bytes(), {New, Old}, ServiceId{1}, FlowId{2}, R) ==
+  CHECK(verifyRoute(Sealed.bytes(), {New, Old}, ServiceId{1}, FlowId{2}, R) ==
         ErrorKind::None);
-  CHECK(open(Sealed.bytes(), {New, New}, ServiceId{1}, FlowId{2}, R) ==
+  CHECK(verifyRoute(Sealed.bytes(), {New, New}, ServiceId{1}, FlowId{2}, R) ==
         ErrorKind::ForgedRoute);
 }
 
 TEST_CASE("a route of another service or flow is refused") {
-  SealedRoute Sealed = seal(sample(), Old);
+  SignedRoute Sealed = signRoute(sample(), Old);
   Route R;
-  CHECK(open(Sealed.bytes(), {Old, Old}, ServiceId{2}, FlowId{2}, R) ==
+  CHECK(verifyRoute(Sealed.bytes(), {Old, Old}, ServiceId{2}, FlowId{2}, R) ==
         ErrorKind::ForgedRoute);
-  CHECK(open(Sealed.bytes(), {Old, Old}, ServiceId{1}, FlowId{3}, R) ==
+  CHECK(verifyRoute(Sealed.bytes(), {Old, Old}, ServiceId{1}, FlowId{3}, R) ==
         ErrorKind::ForgedRoute);
 }
 
 TEST_CASE("a route with any bit changed, or of any other length, is refused") {
-  SealedRoute Sealed = seal(sample(), Old);
+  SignedRoute Sealed = signRoute(sample(), Old);
   Route R;
   for (std::size_t Bit = 0; Bit < Sealed.Size_ * 8; ++Bit) {
-    SealedRoute Forged = Sealed;
+    SignedRoute Forged = Sealed;
     Forged.Bytes_[Bit / 8] ^= static_cast<std::uint8_t>(1 << (Bit % 8));
-    CHECK(open(Forged.bytes(), {Old, New}, ServiceId{1}, FlowId{2}, R) ==
+    CHECK(verifyRoute(Forged.bytes(), {Old, New}, ServiceId{1}, FlowId{2}, R) ==
           ErrorKind::ForgedRoute);
   }
   for (std::size_t Size = 0; Size < Sealed.Size_; ++Size)
-    CHECK(open({Sealed.Bytes_.data(), Size}, {Old, New}, ServiceId{1},
-               FlowId{2}, R) == ErrorKind::ForgedRoute);
+    CHECK(verifyRoute({Sealed.Bytes_.data(), Size}, {Old, New}, ServiceId{1},
+                      FlowId{2}, R) == ErrorKind::ForgedRoute);
 }
--- a/test/silence-fleet.cc
+++ b/test/silence-fleet.cc
@@ -105,7 +105,7 @@
 /// Rendezvous: a host that comes or goes moves its own flows alone.
 PacketBalancer &SilenceFleet::picked(const Packet &P) {
   std::uint64_t Flow =
-      P.Caller_.Port_ + std::uint64_t{65536} * P.Caller_.Address_[15];
+      P.Caller_.Port_ + std::uint64_t{65536} * P.Caller_.Ip_[15];
   std::size_t Best = Hosts_.size();
   std::uint64_t BestScore = 0;
   for (std::size_t Which = 0; Which < Hosts_.size(); ++Which) {
--- a/test/upstream-table-test.cc
+++ b/test/upstream-table-test.cc
@@ -17,7 +17,7 @@
     Upstream U;
     U.Name_ = "up-" + std::to_string(I);
     U.Id_ = static_cast<UpstreamId>(nameId(U.Name_));
-    U.At_ = Endpoint::v4(static_cast<std::uint32_t>(I + 1), 9000);
+    U.Address_ = Endpoint::v4(static_cast<std::uint32_t>(I + 1), 9000);
     U.Slots_ = Slots;
     D.Upstreams_.push_back(U);
   }
