--- a/include/thymewall/core.h
+++ b/include/thymewall/core.h
@@ -1,6 +1,5 @@
 /// \file
-/// Basic value types of thymewall: times, addresses, identifiers and the closed
-/// list of error kinds. Everything else in the library includes this header.
+/// Basic value types: times, addresses, identifiers and error kinds.
 #ifndef THYMEWALL_CORE_H
 #define THYMEWALL_CORE_H
 
@@ -16,8 +15,7 @@
 
 using Micros = std::chrono::microseconds;
 
-/// Monotonic time as the caller of the core measures it. The core never reads
-/// a clock.
+/// Monotonic time. The core reads no clock; its caller passes the time in.
 struct MonoClock {
   using duration = Micros;
   using rep = duration::rep;
@@ -36,7 +34,7 @@
 using MonoTime = MonoClock::time_point;
 using WallTime = WallClock::time_point;
 
-/// Both clocks, read together by the harness when an event arrives.
+/// Both clocks, read together when an event arrives.
 struct Moment {
   MonoTime Mono_;
   WallTime Wall_;
@@ -76,27 +74,28 @@
 enum class UpstreamId : std::uint32_t {};
 /// Hash of the balancer's name; see `nameId`.
 enum class BalancerId : std::uint32_t {};
-/// The caller's random 64-bit name of a flow.
+/// Random 64-bit identifier of a flow, drawn by the caller.
 enum class FlowId : std::uint64_t {};
-/// A random number that a process draws at its start.
+/// Random number that a process draws at start; tells its restarts apart.
 enum class Incarnation : std::uint64_t {};
-/// The version number of a declaration; larger is newer, 0 is none.
+/// Version number of a document; larger is newer, 0 is none.
 using Version = std::uint64_t;
-/// Counts the changes of everything that is published; larger is newer.
+/// Number of changes to the published data so far; larger is newer.
 using Revision = std::uint64_t;
 
+/// Returns the underlying integer of an enumerator.
 template <typename T> constexpr auto raw(T Value) {
   return static_cast<std::underlying_type_t<T>>(Value);
 }
 
-/// The 32-bit identifier of a name (XXH64, folded). Declarations in which two
-/// names share an identifier are refused.
+/// Returns the 32-bit identifier of a name (XXH64, folded). Declarations in
+/// which two names share an identifier are rejected.
 std::uint32_t nameId(std::string_view Name);
 
-/// 64-bit hash of two numbers (XXH64), used for rendezvous hashing.
+/// Returns the 64-bit XXH64 hash of two numbers, for rendezvous hashing.
 std::uint64_t hashPair(std::uint64_t A, std::uint64_t B);
 
-/// Every reason for which the system refuses, drops or gives up.
+/// Reasons for which a message is refused or dropped, or a request abandoned.
 enum class ErrorKind : std::uint8_t {
   None,
   Malformed,
@@ -129,17 +128,16 @@
   Count
 };
 
-/// What the caller is told for an error kind.
+/// What the caller is sent for an error kind.
 enum class ErrorResponse : std::uint8_t {
-  Drop,           ///< Dropped and counted.
-  NotRun,         ///< No upstream has run it, and none will.
-  OutcomeUnknown, ///< It may have been run; a repeat is the caller's decision.
-  Reset ///< The caller's transport is told at once that the flow is over.
+  Drop,           ///< Nothing; the message is only counted.
+  NotRun,         ///< No upstream has run the request, and none will.
+  OutcomeUnknown, ///< The request may have run; the caller decides on a retry.
+  Reset           ///< A reset of the flow, such as a TCP RST.
 };
 
-/// One row of the table from kind to answer. `NotRun` is an upper bound: the
-/// core lowers it to `OutcomeUnknown` wherever another process may have sent
-/// the request on (docs/DESIGN.md, "Every point of giving up").
+/// Name and response of an error kind. The core sends `OutcomeUnknown` in place
+/// of `NotRun` where another process may have forwarded the request.
 struct ErrorRow {
   ErrorKind Kind_;
   std::string_view Name_;
@@ -147,13 +145,14 @@
   Micros RetryAfter_;
 };
 
-/// The row of a kind; an out-of-range kind gets the row of `Malformed`.
+/// Returns the row of a kind, or that of `Malformed` if it is out of range.
 const ErrorRow &errorRow(ErrorKind Kind);
 
-/// Parses "192.0.2.1:80" or "[2001:db8::1]:80"; an empty endpoint on failure.
+/// Parses "192.0.2.1:80" or "[2001:db8::1]:80"; returns an empty endpoint on
+/// failure.
 Endpoint parseEndpoint(std::string_view Text);
-/// The inverse of `parseEndpoint`.
-std::string formatEndpoint(const Endpoint &Where);
+/// Formats an endpoint as `parseEndpoint` reads it.
+std::string formatEndpoint(const Endpoint &Value);
 
 } // namespace thymewall
 
--- a/include/thymewall/declaration.h
+++ b/include/thymewall/declaration.h
@@ -1,7 +1,7 @@
 /// \file
-/// Declarations: the JSON document in which operators name services, upstreams,
-/// balancers and selectors. The same parser serves `thymewall-ctl check` and
-/// the balancer, so a document that `check` accepts is accepted everywhere.
+/// The declaration: a JSON document in which operators define services,
+/// upstreams, balancers and selectors. `thymewall-ctl check` and the balancer
+/// use the same parser.
 #ifndef THYMEWALL_DECLARATION_H
 #define THYMEWALL_DECLARATION_H
 
@@ -21,7 +21,7 @@
 
 using Labels = std::map<std::string, std::string>;
 
-/// One condition of a selector.
+/// One label requirement of a selector.
 struct Term {
   enum class Operator { In, NotIn, Exists, Absent };
   std::string Key_;
@@ -30,8 +30,8 @@
 };
 bool matches(const Term &T, const Labels &L);
 
-/// A weekly window in local time. `ToMinute_` before `FromMinute_` runs over
-/// midnight and belongs to the day on which it starts.
+/// A weekly window in local time. If `ToMinute_` is less than `FromMinute_`, it
+/// runs over midnight; `Days_` then gives the day on which it starts.
 struct Window {
   std::uint8_t Days_ = 0x7f;         ///< Bit 0 is Sunday.
   std::uint16_t FromMinute_ = 0;     ///< Minute of the local day.
@@ -39,15 +39,15 @@
   std::string TimeZone_;             ///< IANA name.
 };
 
-/// A local time as a zone gives it.
+/// Day of the week and minute of the day in local time.
 struct LocalMinute {
   std::uint8_t Weekday_ = 0; ///< 0 is Sunday.
   std::uint16_t Minute_ = 0;
 };
 bool contains(const Window &W, LocalMinute Local);
 
-/// Local time of a zone; an unknown zone gives nothing. `zone.h` has the hook
-/// that reads the IANA database; tests give their own.
+/// Converts a time to the local time of an IANA time zone; returns nullopt for
+/// an unknown zone. See `timeZoneClock`.
 using TimeZoneClock = std::function<std::optional<LocalMinute>(
     const std::string &Zone, WallTime When)>;
 
@@ -55,9 +55,9 @@
   std::string Name_;
   ServiceId Id_{};
   std::uint16_t Port_ = 0;
-  Micros DefaultTimeout_{}; ///< For requests that bring no deadline.
-  std::uint32_t MaxInFlightPerSlot_ = 0; ///< Bound at each balancer.
-  double RetryBudget_ = 0;               ///< Retries per first try of an open.
+  Micros DefaultTimeout_{};              ///< For requests without a deadline.
+  std::uint32_t MaxInFlightPerSlot_ = 0; ///< Limit of each balancer.
+  double RetryBudget_ = 0; ///< Retries allowed per open, on average.
 };
 
 struct Upstream {
@@ -70,14 +70,15 @@
   Labels Labels_;
 };
 
-/// A declared balancer; its addresses come from the host list.
+/// A declared balancer. Its addresses are in the host list.
 struct BalancerEntry {
   std::string Name_;
   std::string DataHall_;
   Labels Labels_;
 };
 
-/// Which upstreams serve which service, and when (always without a window).
+/// Assigns the upstreams that match all terms to a service, within the window
+/// if there is one.
 struct Selector {
   std::size_t Service_ = 0; ///< Index into `Declaration::Services_`.
   std::vector<Term> Terms_;
@@ -87,41 +88,43 @@
 struct Declaration {
   Version Version_ = 0;
   std::uint64_t Digest_ = 0; ///< XXH64 of the text.
-  std::string Text_;
+  std::string Text_;         ///< The document itself.
   std::vector<Service> Services_;
   std::vector<Upstream> Upstreams_;
   std::vector<BalancerEntry> Balancers_;
   std::vector<Selector> Selectors_;
-  /// Nothing new is sent to the upstreams of these data halls.
+  /// Data halls whose upstreams get no new flows.
   std::set<std::string> EvacuatedHalls_;
 
+  /// Returns null if the service is not declared.
   const Service *service(ServiceId Id) const;
 };
 using DeclarationPtr = std::shared_ptr<const Declaration>;
 
-/// True when \p A goes before \p B: by version, then by digest, so that two
-/// documents of one version settle alike everywhere.
+/// Returns true if \p A replaces \p B: by version, then by digest, so that all
+/// balancers choose the same of two documents with one version.
 bool supersedes(const Declaration &A, const Declaration &B);
 
-/// Parses and validates a whole document. On failure the error object is
-/// `Problems`, with every fault found.
+/// Parses and validates a document. On failure the error object is `Problems`,
+/// which holds every problem found.
 boost::leaf::result<DeclarationPtr>
 parseDeclaration(std::string Text, const std::string &File,
                  const TimeZoneClock &Zones);
 
-/// Why an upstream does not serve a service at a time; empty when it does.
+/// Returns why an upstream does not serve a service at \p When, or an empty
+/// string if it does.
 std::string explain(const Declaration &D, const Service &S, const Upstream &U,
                     const TimeZoneClock &Zones, WallTime When);
 
-/// Indexes into `Upstreams_` of those that serve \p S at \p When.
+/// Returns the indexes into `Upstreams_` of those that serve \p S at \p When.
 std::vector<std::size_t> eligibleUpstreams(const Declaration &D,
                                            const Service &S,
                                            const TimeZoneClock &Zones,
                                            WallTime When);
 
-/// Looks through the week from \p From, minute by minute, for services without
-/// an upstream and upstreams that serve two services; and for evacuated data
-/// halls that the declaration does not name elsewhere.
+/// Checks each minute of the week from \p From for services without an upstream
+/// and for upstreams that serve two services. Also reports evacuated data halls
+/// that have no upstream or balancer.
 Problems checkWeek(const Declaration &D, const std::string &File,
                    const TimeZoneClock &Zones, WallTime From);
 
--- a/include/thymewall/host-list.h
+++ b/include/thymewall/host-list.h
@@ -1,6 +1,6 @@
 /// \file
 /// The platform's list of live and leaving hosts (docs/PROTOCOL.md, "Host
-/// list"). It lags, and is used accordingly.
+/// list"). It may lag behind the real state of the hosts.
 #ifndef THYMEWALL_HOST_LIST_H
 #define THYMEWALL_HOST_LIST_H
 
@@ -14,8 +14,8 @@
   Role Role_ = Role::Balancer;
   bool Leaving_ = false;
   std::string DataHall_;
-  Endpoint Data_;    ///< Balancers only: datagrams between balancers.
-  Endpoint Control_; ///< Balancers only: control links.
+  Endpoint Data_;    ///< Datagrams between balancers; balancers only.
+  Endpoint Control_; ///< Control links; balancers only.
 };
 
 struct HostList {
@@ -24,7 +24,7 @@
 };
 using HostListPtr = std::shared_ptr<const HostList>;
 
-/// Parses a host list; the error object is `Problems`.
+/// Parses a host list. On failure the error object is `Problems`.
 boost::leaf::result<HostListPtr> parseHostList(const std::string &Text,
                                                const std::string &File);
 
--- a/include/thymewall/problem.h
+++ b/include/thymewall/problem.h
@@ -1,5 +1,5 @@
 /// \file
-/// Faults of documents and settings.
+/// Validation errors of documents and settings.
 #ifndef THYMEWALL_PROBLEM_H
 #define THYMEWALL_PROBLEM_H
 
@@ -9,14 +9,14 @@
 
 namespace thymewall {
 
-/// One fault of a document: where it is and what is wrong.
+/// A validation error.
 struct Problem {
   std::string File_;
-  std::string Key_;
+  std::string Key_; ///< Path of the key, such as "services[0].port".
   std::string Reason_;
 };
 bool operator==(const Problem &A, const Problem &B);
-/// "FILE: KEY: REASON".
+/// Returns "FILE: KEY: REASON".
 std::string format(const Problem &P);
 using Problems = std::vector<Problem>;
 
--- a/include/thymewall/routing.h
+++ b/include/thymewall/routing.h
@@ -1,6 +1,6 @@
 /// \file
-/// The routing table: which services stand behind each address that callers
-/// use. Published whole by the operators, ordered by version.
+/// The routing table: the services behind each address that callers use.
+/// Operators publish it as a whole under a version number.
 #ifndef THYMEWALL_ROUTING_H
 #define THYMEWALL_ROUTING_H
 
@@ -14,7 +14,7 @@
 namespace thymewall {
 
 struct EndpointHash {
-  std::size_t operator()(const Endpoint &At) const;
+  std::size_t operator()(const Endpoint &Address) const;
 };
 
 /// A service's share of the new flows of an address.
@@ -31,26 +31,26 @@
   std::unordered_map<Endpoint, std::vector<ServiceShare>, EndpointHash>
       Addresses_;
   std::unordered_map<std::uint32_t, std::string> ServiceNames_;
-  /// New flows a second that a cold upstream of a service bears; only services
-  /// that have such a limit.
+  /// By service: most new flows per second to one cold upstream. Services
+  /// without a limit have no entry.
   std::unordered_map<std::uint32_t, double> ColdFlowsPerSecond_;
-  /// A flow that rests longer may be forgotten.
+  /// Time without packets after which a flow may be dropped from the table.
   Micros IdleTimeout_ = std::chrono::seconds(60);
 
-  /// Null when callers may not use the address.
-  const std::vector<ServiceShare> *find(const Endpoint &At) const;
-  /// Whether it knows the service: by name, or as one that an address leads to.
+  /// Returns the services of an address, or null if it is not published.
+  const std::vector<ServiceShare> *find(const Endpoint &Address) const;
+  /// Returns true if the service has a name or an address in the table.
   bool knowsService(ServiceId Id) const;
-  /// 0 where a service has no limit for its cold upstreams.
+  /// Returns the limit for cold upstreams of a service, or 0 for no limit.
   double coldFlowsPerSecond(ServiceId Id) const;
-  /// The name of a service, or its number when no name is known.
+  /// Returns the name of a service, or its number if it has no name.
   std::string serviceName(ServiceId Id) const;
 };
 using RoutingTablePtr = std::shared_ptr<const RoutingTable>;
 
-/// The service of a new flow: drawn by weight from the flow's hash, so that
-/// every balancer and every copy of an opening packet agrees. \p Shares has at
-/// least one weight above 0.
+/// Chooses the service of a new flow by weight. The choice depends only on the
+/// flow's hash, so that all balancers choose the same service for it. \p Shares
+/// must have at least one weight above 0.
 ServiceId chooseService(const std::vector<ServiceShare> &Shares, FlowId Flow);
 
 } // namespace thymewall
--- a/include/thymewall/zone.h
+++ b/include/thymewall/zone.h
@@ -1,5 +1,5 @@
 /// \file
-/// The IANA time zone database as a `TimeZoneClock` (summer time included).
+/// Local times from the IANA time zone database.
 #ifndef THYMEWALL_ZONE_H
 #define THYMEWALL_ZONE_H
 
@@ -7,8 +7,8 @@
 
 namespace thymewall {
 
-/// A clock over the system's zone database. Throws nothing; an unknown zone
-/// gives nothing.
+/// Returns a clock that uses the system's time zone database, including
+/// daylight saving time. The clock does not throw.
 TimeZoneClock timeZoneClock();
 
 } // namespace thymewall
--- a/src/balancer-process.h
+++ b/src/balancer-process.h
@@ -1,5 +1,6 @@
 /// \file
-/// The balancer's process: sockets, timers and threads around the core.
+/// The request balancer as a process: sockets, timers and threads that drive a
+/// `Balancer`.
 #ifndef THYMEWALL_SRC_BALANCER_PROCESS_H
 #define THYMEWALL_SRC_BALANCER_PROCESS_H
 
--- a/src/clock.h
+++ b/src/clock.h
@@ -1,5 +1,6 @@
 /// \file
-/// The clocks of a process, as the cores take them. Only shells read them.
+/// Reads the system's clocks. Only process code uses it; the cores take the
+/// time as an argument.
 #ifndef THYMEWALL_SRC_CLOCK_H
 #define THYMEWALL_SRC_CLOCK_H
 
@@ -12,7 +13,7 @@
 inline MonoTime toMono(SteadyTime At) {
   return MonoTime(std::chrono::duration_cast<Micros>(At.time_since_epoch()));
 }
-/// For timers, which take the library's own time.
+/// Converts to the time type of Asio's timers.
 inline SteadyTime toSteady(MonoTime At) {
   return SteadyTime(At.time_since_epoch());
 }
--- a/src/control-plane.h
+++ b/src/control-plane.h
@@ -1,7 +1,7 @@
 /// \file
-/// Links between balancers: websocketpp connections that carry heartbeats,
-/// documents and successions. What to link to and to send is decided by
-/// `thymewall/control.h`.
+/// Exchange of heartbeats, documents and successions over WebSocket links
+/// between balancers. `thymewall/control.h` selects the peers and encodes the
+/// messages.
 #ifndef THYMEWALL_SRC_CONTROL_PLANE_H
 #define THYMEWALL_SRC_CONTROL_PLANE_H
 
@@ -14,22 +14,22 @@
 
 namespace thymewall::detail {
 
-/// What the control plane tells its process.
+/// Callbacks for received messages.
 struct ControlHooks {
   std::function<void(const Heartbeat &)> OnHeartbeat_;
   std::function<void(DocumentKind, const std::string &Text)> OnDocument_;
   std::function<void(const Succession &)> OnSuccession_;
-  /// A peer showed, after it was asked, that it has nothing newer than we have.
+  /// A peer answered `requestHeartbeats` and has no newer document.
   std::function<void(std::uint64_t RefreshId)> OnConfirmed_;
 };
 
-/// Totals since the start; bytes are those of messages, without framing.
+/// Totals since the start. Bytes are those of messages, without framing.
 struct ControlCounters {
   std::uint64_t BytesSent_ = 0;
   std::uint64_t BytesReceived_ = 0;
   std::uint64_t MessagesSent_ = 0;
   std::uint64_t MessagesRefused_ = 0;
-  std::size_t Links_ = 0;
+  std::size_t Links_ = 0; ///< Links open now.
 };
 
 class ControlPlane {
@@ -39,18 +39,20 @@
   ~ControlPlane();
 
   void setHosts(HostListPtr Hosts);
-  /// Records a document that is in force here and tells every link.
+  /// Sets the document that peers may fetch and announces its version.
   void setDocument(DocumentKind Kind, const DocumentVersion &Which,
                    std::string Text);
+  /// Announces that this balancer is stopping.
   void setLeaving();
-  /// Asks every peer for what it has now; `OnConfirmed_` tells who agrees.
+  /// Asks every peer for a heartbeat; `OnConfirmed_` follows for each peer that
+  /// has no newer document.
   void requestHeartbeats(std::uint64_t RefreshId);
-  /// Sends a succession to every link, and on every link that opens later.
+  /// Sends a succession on every link, including those that open later.
   void broadcast(const Succession &S);
-  /// Notes that the platform has answered this balancer.
+  /// Records that the platform answered this balancer now.
   void recordPlatformAnswer();
-  /// Listed balancers of our data hall that are not known to have had an answer
-  /// of the platform of late.
+  /// Returns the listed balancers of the own data hall that are not known to
+  /// have had a recent answer from the platform.
   std::vector<std::string> staleWatchers() const;
   ControlCounters counters() const;
 
--- a/src/json-reader.h
+++ b/src/json-reader.h
@@ -1,6 +1,6 @@
 /// \file
-/// Reads JSON objects key by key and collects every fault with file, key and
-/// reason. Shared by declarations, host lists and settings.
+/// Reads JSON objects key by key and collects all problems with file, key and
+/// reason.
 #ifndef THYMEWALL_SRC_JSON_READER_H
 #define THYMEWALL_SRC_JSON_READER_H
 
@@ -13,7 +13,7 @@
 
 using Json = nlohmann::json;
 
-/// Where faults of one document are collected.
+/// Problems of one document.
 class ProblemList {
 public:
   explicit ProblemList(std::string File) : File_(std::move(File)) {}
@@ -28,10 +28,11 @@
   Problems All_;
 };
 
-/// Parses a text; a syntax fault is a problem and gives null.
+/// Parses a text. Adds a problem and returns null on a syntax error.
 Json parseJson(const std::string &Text, ProblemList &Found);
 
-/// One object. Every key that is not asked for is a problem at `finish`.
+/// Reads the keys of one object. A missing key or a value of the wrong type or
+/// range adds a problem; `finish` adds one for each key that was not read.
 class ObjectReader {
 public:
   ObjectReader(const Json &Object, std::string Path, ProblemList &Found);
@@ -44,10 +45,12 @@
   double numberOr(const char *Key, double Default, double Min, double Max);
   bool booleanOr(const char *Key, bool Default);
   Endpoint endpoint(const char *Key);
-  /// An array; empty when the key is absent and not \p Required.
+  /// Returns an empty array if the key is absent or holds no array.
   const Json &array(const char *Key, bool Required = true);
+  /// Returns the value of any type, or null if the key is absent.
   const Json *objectOrNull(const char *Key);
   bool has(const char *Key) const;
+  /// Returns the key with the path of the object before it.
   std::string path(const char *Key) const;
   void addProblem(const char *Key, std::string Reason);
   void finish();
@@ -60,7 +63,7 @@
   std::set<std::string> Asked_;
 };
 
-/// An array of addresses; a bad one is a problem with its place.
+/// Reads an array of addresses; an invalid one adds a problem with its index.
 std::vector<Endpoint> readEndpoints(ObjectReader &Reader, const char *Key,
                                     bool Required, ProblemList &Found);
 
--- a/src/platform-client.h
+++ b/src/platform-client.h
@@ -1,6 +1,7 @@
 /// \file
-/// Reads and watches the users' platform (docs/PROTOCOL.md, "Platform"). Its
-/// threads only block on HTTP; results are posted to the Asio context.
+/// Reads and watches the documents of the customer's platform
+/// (docs/PROTOCOL.md, "Platform"). One thread per document kind blocks on HTTP
+/// calls; answers are posted to the Asio context.
 #ifndef THYMEWALL_SRC_PLATFORM_CLIENT_H
 #define THYMEWALL_SRC_PLATFORM_CLIENT_H
 
@@ -12,11 +13,11 @@
 
 namespace thymewall::detail {
 
-/// What the platform said about one document.
+/// An answer of the platform about one document.
 struct PlatformAnswer {
   DocumentKind Kind_ = DocumentKind::Declaration;
   std::string Text_;            ///< Empty when there is nothing newer.
-  std::uint64_t RefreshId_ = 0; ///< Of the last `readNow` before the call.
+  std::uint64_t RefreshId_ = 0; ///< That of the last `readNow` before the call.
 };
 
 class PlatformClient {
@@ -27,16 +28,16 @@
                  Handler OnAnswer);
   ~PlatformClient();
 
-  /// The version from which the next call watches on.
+  /// Sets the version after which the next call asks for documents.
   void setKnownVersion(DocumentKind Kind, Version Known);
-  /// Whether to keep a watch open; one read is made at the start anyway.
+  /// Sets whether to watch for changes by long polls. Each document is read
+  /// once at the start in any case.
   void setWatching(bool Watching);
-  /// Longest pause after failed calls; each failure doubles the pause up to
-  /// it, so that a platform that comes back is not met by all at once.
+  /// Bounds the exponential backoff after failed calls.
   void setMaxRetryDelay(std::chrono::milliseconds Pause);
-  /// Reads every document once, now.
+  /// Aborts calls in progress and reads every document once.
   void readNow(std::uint64_t RefreshId);
-  /// Calls made so far: each counts against the platform's budget.
+  /// Returns the number of calls made so far.
   std::uint64_t calls() const;
 
 private:
--- a/src/status-page.h
+++ b/src/status-page.h
@@ -1,5 +1,5 @@
 /// \file
-/// Pages of the request balancer: `/status` and `/histograms` as JSON, and
+/// HTTP pages of the request balancer: `/status` and `/histograms` as JSON, and
 /// `/metrics` in Prometheus text format.
 #ifndef THYMEWALL_SRC_STATUS_PAGE_H
 #define THYMEWALL_SRC_STATUS_PAGE_H
@@ -10,20 +10,21 @@
 
 namespace thymewall::detail {
 
-/// Everything that the pages show; made on the Asio context's thread.
+/// Contents of the pages; made on the Asio context's thread.
 struct StatusReport {
   std::string Name_;
   Status Status_;
   Counters Counters_;
   const DelayMetrics *Delays_ = nullptr;
   DeclarationPtr Declaration_;
+  /// Counters of the process beside those of the core, by metric name.
   std::vector<std::pair<std::string, std::uint64_t>> ProcessCounters_;
 };
 
 std::string statusJson(const StatusReport &R);
 std::string metricsText(const StatusReport &R);
 
-/// The page of a path, for an `HttpServer`.
+/// Returns the page of a path.
 HttpPage statusPage(const StatusReport &R, const std::string &Path);
 
 } // namespace thymewall::detail
