--- a/include/thymewall/declaration.h
+++ b/include/thymewall/declaration.h
@@ -57,7 +57,7 @@
   std::uint16_t Port_ = 0;
   Micros DefaultTimeout_{};              ///< For requests without a deadline.
   std::uint32_t MaxInFlightPerSlot_ = 0; ///< Limit of each balancer.
-  double RetryBudget_ = 0; ///< Retries allowed per open, on average.
+  double RetryBudget_ = 0;               ///< Retry tokens that each open adds.
 };
 
 struct Upstream {
@@ -109,24 +109,24 @@
 /// which holds every problem found.
 boost::leaf::result<DeclarationPtr>
 parseDeclaration(std::string Text, const std::string &File,
-                 const TimeZoneClock &Zones);
+                 const TimeZoneClock &Clock);
 
 /// Returns why an upstream does not serve a service at \p When, or an empty
 /// string if it does.
 std::string explain(const Declaration &D, const Service &S, const Upstream &U,
-                    const TimeZoneClock &Zones, WallTime When);
+                    const TimeZoneClock &Clock, WallTime When);
 
 /// Returns the indexes into `Upstreams_` of those that serve \p S at \p When.
 std::vector<std::size_t> eligibleUpstreams(const Declaration &D,
                                            const Service &S,
-                                           const TimeZoneClock &Zones,
+                                           const TimeZoneClock &Clock,
                                            WallTime When);
 
 /// Checks each minute of the week from \p From for services without an upstream
 /// and for upstreams that serve two services. Also reports evacuated data halls
 /// that have no upstream or balancer.
 Problems checkWeek(const Declaration &D, const std::string &File,
-                   const TimeZoneClock &Zones, WallTime From);
+                   const TimeZoneClock &Clock, WallTime From);
 
 } // namespace thymewall
 
--- a/src/balancer-process.cc
+++ b/src/balancer-process.cc
@@ -24,11 +24,11 @@
 
 /// News that no `RereadSources` asked for: enough for a process that has just
 /// started, not for one that has woken late.
-constexpr std::uint64_t Unasked = 0;
+constexpr std::uint64_t NoRefresh = 0;
 /// Keeps the calls of a whole fleet that finds the platform down under 1,000 a
 /// second, at two documents a host.
-constexpr std::chrono::milliseconds PausePerHost(2);
-constexpr auto WatchReviewEvery = std::chrono::seconds(1);
+constexpr std::chrono::milliseconds MaxRetryDelayPerHost(2);
+constexpr auto WatchReviewInterval = std::chrono::seconds(1);
 
 Moment now() { return {monoNow(), wallNow()}; }
 
@@ -37,7 +37,7 @@
   return std::uint64_t{Device()} << 32 | Device();
 }
 
-Balancer makeCore(const Settings &S, Incarnation Self, DelayHook OnDelay) {
+Balancer makeBalancer(const Settings &S, Incarnation Self, DelayHook OnDelay) {
   return BalancerBuilder()
       .name(S.Name_)
       .dataAddress(S.Data_)
@@ -68,33 +68,33 @@
   Impl(asio::io_context &Context, const Settings &Configured);
 
 private:
-  using Received = void (Impl::*)(const Endpoint &, const std::uint8_t *,
-                                  std::size_t);
-  UdpSocket::Receiver receiver(Received Function);
-  void fromUpstream(const Endpoint &From, const std::uint8_t *Data,
-                    std::size_t Size);
-  void fromPeer(const Endpoint &From, const std::uint8_t *Data,
-                std::size_t Size);
-  void fromCaller(ServiceId Service, const Endpoint &From,
-                  const std::uint8_t *Data, std::size_t Size);
+  using DatagramHandler = void (Impl::*)(const Endpoint &, const std::uint8_t *,
+                                         std::size_t);
+  UdpSocket::Receiver receiver(DatagramHandler Function);
+  void onUpstreamDatagram(const Endpoint &From, const std::uint8_t *Data,
+                          std::size_t Size);
+  void onPeerDatagram(const Endpoint &From, const std::uint8_t *Data,
+                      std::size_t Size);
+  void onCallerDatagram(ServiceId Service, const Endpoint &From,
+                        const std::uint8_t *Data, std::size_t Size);
   /// Counts what a decoder refused.
-  bool takes(ErrorKind Decoded) {
+  bool checkDecoded(ErrorKind Decoded) {
     if (Decoded != ErrorKind::None)
-      ++Undecoded_[static_cast<std::size_t>(Decoded)];
+      ++DecodeErrors_[static_cast<std::size_t>(Decoded)];
     return Decoded == ErrorKind::None;
   }
-  void give(const Event &What) { Core_.handle(now(), What, Sink_); }
+  void dispatch(const Event &What) { Core_.handle(now(), What, Sink_); }
 
   // Actions of the core, one overload each.
-  void act(const ToCaller &A);
-  void act(const ToUpstream &A);
-  void act(const ToPeer &A);
-  void act(const InForce &A);
-  void act(const RereadSources &A);
-  void act(const TellSuccession &A);
-  void act(const Stopped &A);
-
-  void onPlatform(const PlatformAnswer &Answer);
+  void execute(const ToCaller &A);
+  void execute(const ToUpstream &A);
+  void execute(const ToPeer &A);
+  void execute(const InForce &A);
+  void execute(const RereadSources &A);
+  void execute(const TellSuccession &A);
+  void execute(const Stopped &A);
+
+  void onPlatformAnswer(const PlatformAnswer &Answer);
   void onDocument(DocumentKind Kind, const std::string &Text,
                   const std::string &Source, std::uint64_t RefreshId);
   void onDeclaration(const std::string &Text, const std::string &Source,
@@ -102,9 +102,9 @@
   void onHosts(const std::string &Text, const std::string &Source);
   ControlHooks controlHooks();
   void tick();
-  void reviewWatching();
+  void updateWatching();
   StatusReport report();
-  std::string tenant(ServiceId Id) const;
+  std::string serviceName(ServiceId Id) const;
 
   asio::io_context &Context_;
   Settings Settings_;
@@ -123,8 +123,8 @@
   DeclarationPtr Declaration_;
   HostListPtr Hosts_;
   /// Datagrams that never reached the core, by kind.
-  decltype(Counters::Errors_) Undecoded_{};
-  std::uint64_t Asked_ = 0; ///< By the last `RereadSources`.
+  decltype(Counters::Errors_) DecodeErrors_{};
+  std::uint64_t LastRefreshId_ = 0; ///< By the last `RereadSources`.
   HttpServer Status_;
 };
 
@@ -133,17 +133,18 @@
     : Context_(Context), Settings_(Configured),
       Self_(static_cast<Incarnation>(randomNumber())),
       Sink_([this](const Action &A) {
-        std::visit([this](const auto &Typed) { act(Typed); }, A);
+        std::visit([this](const auto &Typed) { execute(Typed); }, A);
       }),
-      Core_(makeCore(Settings_, Self_,
-                     [this](ServiceId S, RequestClass C, Micros Delay) {
-                       Delays_.record(tenant(S), className(C), Delay);
-                     })),
-      Upstream_(Context, Settings_.Upstream_, receiver(&Impl::fromUpstream)),
-      Peers_(Context, Settings_.Data_, receiver(&Impl::fromPeer)),
+      Core_(makeBalancer(Settings_, Self_,
+                         [this](ServiceId S, RequestClass C, Micros Delay) {
+                           Delays_.record(serviceName(S), className(C), Delay);
+                         })),
+      Upstream_(Context, Settings_.Upstream_,
+                receiver(&Impl::onUpstreamDatagram)),
+      Peers_(Context, Settings_.Data_, receiver(&Impl::onPeerDatagram)),
       Control_(Context, Settings_, Self_, controlHooks()),
       Platform_(Context, Settings_.Platform_,
-                [this](const PlatformAnswer &A) { onPlatform(A); }),
+                [this](const PlatformAnswer &A) { onPlatformAnswer(A); }),
       TickTimer_(Context), WatchTimer_(Context),
       Signals_(Context, SIGTERM, SIGINT),
       Status_(
@@ -156,65 +157,66 @@
       return;
     logState("stopping", {});
     Control_.setLeaving();
-    give(StopAsked{});
+    dispatch(StopAsked{});
   });
   logState("started", {{"data", formatEndpoint(Settings_.Data_)},
                        {"incarnation", std::to_string(raw(Self_))}});
   tick();
-  reviewWatching();
+  updateWatching();
 }
 
-UdpSocket::Receiver BalancerProcess::Impl::receiver(Received Function) {
+UdpSocket::Receiver BalancerProcess::Impl::receiver(DatagramHandler Function) {
   return [this, Function](const Endpoint &From, const std::uint8_t *Data,
                           std::size_t Size) {
     (this->*Function)(From, Data, Size);
   };
 }
 
-void BalancerProcess::Impl::fromUpstream(const Endpoint &From,
-                                         const std::uint8_t *Data,
-                                         std::size_t Size) {
+void BalancerProcess::Impl::onUpstreamDatagram(const Endpoint &From,
+                                               const std::uint8_t *Data,
+                                               std::size_t Size) {
   FromUpstream E{From, {}};
-  if (takes(decode(Data, Size, E.Message_)))
-    give(E);
+  if (checkDecoded(decode(Data, Size, E.Message_)))
+    dispatch(E);
 }
 
-void BalancerProcess::Impl::fromPeer(const Endpoint &From,
-                                     const std::uint8_t *Data,
-                                     std::size_t Size) {
+void BalancerProcess::Impl::onPeerDatagram(const Endpoint &From,
+                                           const std::uint8_t *Data,
+                                           std::size_t Size) {
   FromPeer E{From, {}};
-  if (takes(decodePeer(Data, Size, Settings_.Keys_, E.Datagram_)))
-    give(E);
+  if (checkDecoded(decodePeer(Data, Size, Settings_.Keys_, E.Datagram_)))
+    dispatch(E);
 }
 
-void BalancerProcess::Impl::fromCaller(ServiceId Service, const Endpoint &From,
-                                       const std::uint8_t *Data,
-                                       std::size_t Size) {
+void BalancerProcess::Impl::onCallerDatagram(ServiceId Service,
+                                             const Endpoint &From,
+                                             const std::uint8_t *Data,
+                                             std::size_t Size) {
   FromCaller E{From, {}, Size};
-  if (!takes(decode(Data, Size, E.Message_)))
+  if (!checkDecoded(decode(Data, Size, E.Message_)))
     return;
   E.Message_.Service_ = Service;
-  give(E);
+  dispatch(E);
 }
 
-void BalancerProcess::Impl::act(const ToCaller &A) {
-  auto Known = Services_.find(A.Message_.Service_);
-  if (Known == Services_.end())
+void BalancerProcess::Impl::execute(const ToCaller &A) {
+  auto It = Services_.find(A.Message_.Service_);
+  if (It == Services_.end())
     return;
   std::uint8_t Buffer[MaxDatagram + MaxHeader];
   std::size_t Size = encode(A.Message_, Buffer, sizeof Buffer);
   if (Size != 0)
-    Known->second->send(A.To_, Buffer, Size);
+    It->second->send(A.To_, Buffer, Size);
 }
 
-void BalancerProcess::Impl::act(const ToUpstream &A) {
+void BalancerProcess::Impl::execute(const ToUpstream &A) {
   std::uint8_t Buffer[MaxDatagram + MaxHeader];
   std::size_t Size = encode(A.Message_, Buffer, sizeof Buffer);
   if (Size != 0)
     Upstream_.send(A.To_, Buffer, Size);
 }
 
-void BalancerProcess::Impl::act(const ToPeer &A) {
+void BalancerProcess::Impl::execute(const ToPeer &A) {
   std::uint8_t Buffer[MaxDatagram + 2 * MaxHeader];
   std::size_t Size =
       encodePeer(A.Datagram_, Settings_.Keys_[0], Buffer, sizeof Buffer);
@@ -222,7 +224,7 @@
     Peers_.send(A.To_, Buffer, Size);
 }
 
-void BalancerProcess::Impl::act(const InForce &A) {
+void BalancerProcess::Impl::execute(const InForce &A) {
   Declaration_ = A.Declaration_;
   for (const Service &S : Declaration_->Services_) {
     if (Services_.count(S.Id_) != 0)
@@ -234,7 +236,9 @@
       Services_[Id] = std::make_unique<UdpSocket>(
           Context_, Local,
           [this, Id](const Endpoint &From, const std::uint8_t *Data,
-                     std::size_t Size) { fromCaller(Id, From, Data, Size); });
+                     std::size_t Size) {
+            onCallerDatagram(Id, From, Data, Size);
+          });
     } catch (const std::system_error &Error) {
       logState("service_socket_failed",
                {{"service", S.Name_}, {"reason", Error.what()}});
@@ -248,27 +252,27 @@
            {{"version", std::to_string(Declaration_->Version_)}});
 }
 
-void BalancerProcess::Impl::act(const RereadSources &A) {
+void BalancerProcess::Impl::execute(const RereadSources &A) {
   logState("late_wake", {});
-  Asked_ = A.Asked_;
+  LastRefreshId_ = A.Asked_;
   Platform_.readNow(A.Asked_);
   Control_.requestHeartbeats(A.Asked_);
 }
 
-void BalancerProcess::Impl::act(const TellSuccession &A) {
+void BalancerProcess::Impl::execute(const TellSuccession &A) {
   Control_.broadcast(A.Succession_);
 }
 
-void BalancerProcess::Impl::act(const Stopped &) {
+void BalancerProcess::Impl::execute(const Stopped &) {
   logState("stopped", {});
   Context_.stop();
 }
 
-void BalancerProcess::Impl::onPlatform(const PlatformAnswer &Answer) {
+void BalancerProcess::Impl::onPlatformAnswer(const PlatformAnswer &Answer) {
   Control_.recordPlatformAnswer();
   if (Answer.Text_.empty()) {
     if (Answer.Kind_ == DocumentKind::Declaration)
-      give(SourceConfirmed{Answer.RefreshId_});
+      dispatch(SourceConfirmed{Answer.RefreshId_});
     return;
   }
   onDocument(Answer.Kind_, Answer.Text_, "platform", Answer.RefreshId_);
@@ -286,17 +290,17 @@
 void BalancerProcess::Impl::onDeclaration(const std::string &Text,
                                           const std::string &Source,
                                           std::uint64_t RefreshId) {
-  auto Refused = [](const Problems &Found) {
+  auto LogRefused = [](const Problems &Found) {
     logState("declaration_refused", {{"count", std::to_string(Found.size())},
                                      {"first", format(Found.front())}});
   };
   boost::leaf::try_handle_all(
       [&]() -> boost::leaf::result<void> {
         BOOST_LEAF_AUTO(Read, parseDeclaration(Text, Source, timeZoneClock()));
-        give(DeclarationRead{Read, RefreshId});
+        dispatch(DeclarationRead{Read, RefreshId});
         return {};
       },
-      Refused, [] { logState("declaration_refused", {}); });
+      LogRefused, [] { logState("declaration_refused", {}); });
 }
 
 void BalancerProcess::Impl::onHosts(const std::string &Text,
@@ -307,9 +311,9 @@
         if (Hosts_ && Read->Version_ <= Hosts_->Version_)
           return {};
         Hosts_ = Read;
-        give(HostListRead{Read});
+        dispatch(HostListRead{Read});
         Platform_.setKnownVersion(DocumentKind::Hosts, Read->Version_);
-        Platform_.setMaxRetryDelay(PausePerHost * Read->Hosts_.size());
+        Platform_.setMaxRetryDelay(MaxRetryDelayPerHost * Read->Hosts_.size());
         Control_.setHosts(Read);
         Control_.setDocument(
             DocumentKind::Hosts,
@@ -325,26 +329,26 @@
 ControlHooks BalancerProcess::Impl::controlHooks() {
   ControlHooks Hooks;
   Hooks.OnHeartbeat_ = [this](const Heartbeat &M) {
-    give(PeerSeen{static_cast<BalancerId>(nameId(M.Name_)), M.Data_,
-                  M.Incarnation_, M.Leaving_});
+    dispatch(PeerSeen{static_cast<BalancerId>(nameId(M.Name_)), M.Data_,
+                      M.Incarnation_, M.Leaving_});
   };
   Hooks.OnDocument_ = [this](DocumentKind Kind, const std::string &Text) {
     // A peer's document is taken as fresh once the peers are asked again.
-    onDocument(Kind, Text, "peer", Unasked);
+    onDocument(Kind, Text, "peer", NoRefresh);
     if (!Core_.status().Ready_)
-      Control_.requestHeartbeats(Asked_);
+      Control_.requestHeartbeats(LastRefreshId_);
   };
   Hooks.OnSuccession_ = [this](const Succession &S) {
-    give(SuccessionRead{S});
+    dispatch(SuccessionRead{S});
   };
   Hooks.OnConfirmed_ = [this](std::uint64_t RefreshId) {
-    give(SourceConfirmed{RefreshId});
+    dispatch(SourceConfirmed{RefreshId});
   };
   return Hooks;
 }
 
 void BalancerProcess::Impl::tick() {
-  give(Tick{});
+  dispatch(Tick{});
   TickTimer_.expires_after(Balancer::TickEvery);
   TickTimer_.async_wait([this](const asio::error_code &Error) {
     if (!Error)
@@ -354,16 +358,16 @@
 
 /// A few balancers of each data hall watch the platform; the others hear of
 /// changes from their peers.
-void BalancerProcess::Impl::reviewWatching() {
+void BalancerProcess::Impl::updateWatching() {
   bool Watching =
       !Hosts_ ||
       watchesPlatform(*Hosts_, Settings_.Name_, Settings_.DataHall_,
                       Settings_.WatchersPerHall_, Control_.staleWatchers());
   Platform_.setWatching(Watching);
-  WatchTimer_.expires_after(WatchReviewEvery);
+  WatchTimer_.expires_after(WatchReviewInterval);
   WatchTimer_.async_wait([this](const asio::error_code &Error) {
     if (!Error)
-      reviewWatching();
+      updateWatching();
   });
 }
 
@@ -373,8 +377,8 @@
   R.Name_ = Settings_.Name_;
   R.Status_ = Core_.status();
   R.Counters_ = Core_.counters();
-  for (std::size_t I = 0; I < Undecoded_.size(); ++I)
-    R.Counters_.Errors_[I] += Undecoded_[I];
+  for (std::size_t I = 0; I < DecodeErrors_.size(); ++I)
+    R.Counters_.Errors_[I] += DecodeErrors_[I];
   R.Delays_ = &Delays_;
   R.Declaration_ = Declaration_;
   R.ProcessCounters_ = {{"control_bytes_sent", Control.BytesSent_},
@@ -386,9 +390,9 @@
   return R;
 }
 
-std::string BalancerProcess::Impl::tenant(ServiceId Id) const {
-  const Service *Known = Declaration_ ? Declaration_->service(Id) : nullptr;
-  return Known ? Known->Name_ : "unknown";
+std::string BalancerProcess::Impl::serviceName(ServiceId Id) const {
+  const Service *Declared = Declaration_ ? Declaration_->service(Id) : nullptr;
+  return Declared ? Declared->Name_ : "unknown";
 }
 
 BalancerProcess::BalancerProcess(asio::io_context &Context,
--- a/src/control-plane.cc
+++ b/src/control-plane.cc
@@ -14,10 +14,10 @@
 using namespace std::chrono_literals;
 using SteadyTime = std::chrono::steady_clock::time_point;
 
-constexpr auto HeartbeatEvery = 1s;
+constexpr auto HeartbeatInterval = 1s;
 /// News of a watcher crosses a data hall in a few heartbeats.
-constexpr auto SilentAfter = 20s;
-constexpr std::size_t MaxSuccessionsKept = 256;
+constexpr auto WatcherStaleAfter = 20s;
+constexpr std::size_t MaxSuccessions = 256;
 
 /// One open connection, from either side.
 struct Link {
@@ -26,7 +26,7 @@
 };
 
 struct Document {
-  DocumentVersion Which_;
+  DocumentVersion Version_;
   std::string Text_;
 };
 
@@ -38,7 +38,7 @@
        ControlHooks Hooks);
 
   void setHosts(HostListPtr Hosts);
-  void setDocument(DocumentKind Kind, const DocumentVersion &Which,
+  void setDocument(DocumentKind Kind, const DocumentVersion &NewVersion,
                    std::string Text);
   void setLeaving();
   void requestHeartbeats(std::uint64_t RefreshId);
@@ -49,23 +49,23 @@
 
 private:
   PeerLinkHooks linkHooks();
-  void onOpen(LinkId Which, const std::string &Target);
-  void onMessage(LinkId Which, const std::string &Bytes);
-  void receive(LinkId Which, const Heartbeat &M);
-  void receive(LinkId Which, const DocumentRequest &M);
-  void receive(LinkId Which, const DocumentMessage &M);
-  void receive(LinkId Which, const SuccessionMessage &M);
-  void receive(LinkId Which, const HeartbeatRequest &M);
-  void send(LinkId Which, const ControlMessage &M);
+  void onOpen(LinkId Id, const std::string &Target);
+  void onMessage(LinkId Id, const std::string &Bytes);
+  void receive(LinkId Id, const Heartbeat &M);
+  void receive(LinkId Id, const DocumentRequest &M);
+  void receive(LinkId Id, const DocumentMessage &M);
+  void receive(LinkId Id, const SuccessionMessage &M);
+  void receive(LinkId Id, const HeartbeatRequest &M);
+  void send(LinkId Id, const ControlMessage &M);
   void sendAll(const ControlMessage &M);
   Heartbeat heartbeat() const;
-  void learnWatchers(const Heartbeat &M);
-  std::vector<WatcherAge> freshestWatchers() const;
-  void keepLinks();
+  void mergeWatchers(const Heartbeat &M);
+  std::vector<WatcherAge> recentWatchers() const;
+  void openMissingLinks();
   void connect(const std::string &Target);
-  void closeSpareLink(LinkId Which, const std::string &Peer);
-  bool linkedTo(const std::string &Name, const std::string &Target) const;
-  void schedule();
+  void closeDuplicateLink(LinkId Id, const std::string &Peer);
+  bool isLinkedTo(const std::string &Name, const std::string &Target) const;
+  void scheduleHeartbeat();
 
   const Settings &Settings_;
   Incarnation Self_;
@@ -76,9 +76,9 @@
   std::array<Document, DocumentKindCount> Documents_;
   std::map<LinkId, Link> Links_;
   std::set<std::string> Connecting_;
-  std::vector<Host> Chosen_;                   ///< To link to.
-  std::map<std::string, std::string> HallOf_;  ///< By balancer name.
-  std::map<BalancerId, SteadyTime> WatchedAt_; ///< In our data hall.
+  std::vector<Host> ChosenPeers_;                     ///< To link to.
+  std::map<std::string, std::string> HallByName_;     ///< By balancer name.
+  std::map<BalancerId, SteadyTime> PlatformAnswerAt_; ///< In our data hall.
   std::vector<Succession> Successions_;
   ControlCounters Counters_;
   bool Leaving_ = false;
@@ -89,71 +89,71 @@
     : Settings_(Configured), Self_(Self), Hooks_(std::move(Hooks)),
       Peers_(Context, Settings_.Control_, MaxControlMessageBytes, linkHooks()),
       Timer_(Context) {
-  schedule();
+  scheduleHeartbeat();
 }
 
 PeerLinkHooks ControlPlane::Impl::linkHooks() {
   PeerLinkHooks Result;
-  Result.OnOpen_ = [this](LinkId Which, const std::string &Target) {
-    onOpen(Which, Target);
+  Result.OnOpen_ = [this](LinkId Id, const std::string &Target) {
+    onOpen(Id, Target);
   };
-  Result.OnMessage_ = [this](LinkId Which, const std::string &Bytes) {
-    onMessage(Which, Bytes);
+  Result.OnMessage_ = [this](LinkId Id, const std::string &Bytes) {
+    onMessage(Id, Bytes);
   };
-  Result.OnClose_ = [this](LinkId Which) { Links_.erase(Which); };
+  Result.OnClose_ = [this](LinkId Id) { Links_.erase(Id); };
   Result.OnFailed_ = [this](const std::string &Target) {
     Connecting_.erase(Target);
   };
   return Result;
 }
 
-void ControlPlane::Impl::onOpen(LinkId Which, const std::string &Target) {
+void ControlPlane::Impl::onOpen(LinkId Id, const std::string &Target) {
   Connecting_.erase(Target);
-  Links_[Which] = Link{Target, ""};
-  send(Which, heartbeat());
+  Links_[Id] = Link{Target, ""};
+  send(Id, heartbeat());
   for (const Succession &S : Successions_)
-    send(Which, SuccessionMessage{S});
+    send(Id, SuccessionMessage{S});
 }
 
-void ControlPlane::Impl::onMessage(LinkId Which, const std::string &Bytes) {
+void ControlPlane::Impl::onMessage(LinkId Id, const std::string &Bytes) {
   ControlMessage M;
   Counters_.BytesReceived_ += Bytes.size();
   if (decodeControl(Bytes, Settings_.Keys_, M) != ErrorKind::None) {
     ++Counters_.MessagesRefused_;
     return;
   }
-  std::visit([&](const auto &Typed) { receive(Which, Typed); }, M);
+  std::visit([&](const auto &Typed) { receive(Id, Typed); }, M);
 }
 
-void ControlPlane::Impl::receive(LinkId Which, const Heartbeat &M) {
+void ControlPlane::Impl::receive(LinkId Id, const Heartbeat &M) {
   if (M.Name_ == Settings_.Name_)
     return;
-  auto Known = Links_.find(Which);
-  if (Known != Links_.end())
-    Known->second.Peer_ = M.Name_;
-  closeSpareLink(Which, M.Name_);
-  learnWatchers(M);
+  auto It = Links_.find(Id);
+  if (It != Links_.end())
+    It->second.Peer_ = M.Name_;
+  closeDuplicateLink(Id, M.Name_);
+  mergeWatchers(M);
   Hooks_.OnHeartbeat_(M);
   bool Newer = false;
   for (std::size_t K = 0; K < DocumentKindCount; ++K)
-    if (Documents_[K].Which_ < M.Versions_[K]) {
+    if (Documents_[K].Version_ < M.Versions_[K]) {
       Newer = true;
-      send(Which, DocumentRequest{static_cast<DocumentKind>(K)});
+      send(Id, DocumentRequest{static_cast<DocumentKind>(K)});
     }
   if (!Newer && M.RefreshId_ != 0)
     Hooks_.OnConfirmed_(M.RefreshId_);
 }
 
-void ControlPlane::Impl::receive(LinkId Which, const HeartbeatRequest &M) {
+void ControlPlane::Impl::receive(LinkId Id, const HeartbeatRequest &M) {
   Heartbeat Answer = heartbeat();
   Answer.RefreshId_ = M.RefreshId_;
-  send(Which, Answer);
+  send(Id, Answer);
 }
 
-void ControlPlane::Impl::receive(LinkId Which, const DocumentRequest &M) {
+void ControlPlane::Impl::receive(LinkId Id, const DocumentRequest &M) {
   const Document &D = Documents_[raw(M.Kind_)];
-  if (D.Which_.Version_ != 0)
-    send(Which, DocumentMessage{M.Kind_, D.Text_});
+  if (D.Version_.Version_ != 0)
+    send(Id, DocumentMessage{M.Kind_, D.Text_});
 }
 
 void ControlPlane::Impl::receive(LinkId, const DocumentMessage &M) {
@@ -168,16 +168,16 @@
   Hooks_.OnSuccession_(M.Succession_);
 }
 
-void ControlPlane::Impl::send(LinkId Which, const ControlMessage &M) {
+void ControlPlane::Impl::send(LinkId Id, const ControlMessage &M) {
   std::string Bytes = encodeControl(M, Settings_.Keys_[0]);
-  Peers_.send(Which, Bytes);
+  Peers_.send(Id, Bytes);
   Counters_.BytesSent_ += Bytes.size();
   ++Counters_.MessagesSent_;
 }
 
 void ControlPlane::Impl::sendAll(const ControlMessage &M) {
-  for (const auto &[Which, L] : Links_)
-    send(Which, M);
+  for (const auto &[Id, L] : Links_)
+    send(Id, M);
 }
 
 Heartbeat ControlPlane::Impl::heartbeat() const {
@@ -187,17 +187,17 @@
   M.Incarnation_ = Self_;
   M.Leaving_ = Leaving_;
   for (std::size_t K = 0; K < DocumentKindCount; ++K)
-    M.Versions_[K] = Documents_[K].Which_;
-  M.Watchers_ = freshestWatchers();
+    M.Versions_[K] = Documents_[K].Version_;
+  M.Watchers_ = recentWatchers();
   return M;
 }
 
-std::vector<WatcherAge> ControlPlane::Impl::freshestWatchers() const {
+std::vector<WatcherAge> ControlPlane::Impl::recentWatchers() const {
   auto Now = std::chrono::steady_clock::now();
   std::vector<WatcherAge> Result;
-  for (const auto &[Watcher, At] : WatchedAt_) {
+  for (const auto &[Watcher, At] : PlatformAnswerAt_) {
     auto Age = std::chrono::duration_cast<std::chrono::milliseconds>(Now - At);
-    if (Age < SilentAfter)
+    if (Age < WatcherStaleAfter)
       Result.push_back({Watcher, static_cast<std::uint32_t>(Age.count())});
   }
   std::sort(Result.begin(), Result.end(),
@@ -208,37 +208,37 @@
   return Result;
 }
 
-void ControlPlane::Impl::learnWatchers(const Heartbeat &M) {
-  auto Hall = HallOf_.find(M.Name_);
-  if (Hall == HallOf_.end() || Hall->second != Settings_.DataHall_)
+void ControlPlane::Impl::mergeWatchers(const Heartbeat &M) {
+  auto Hall = HallByName_.find(M.Name_);
+  if (Hall == HallByName_.end() || Hall->second != Settings_.DataHall_)
     return;
   auto Now = std::chrono::steady_clock::now();
   for (const WatcherAge &W : M.Watchers_) {
     SteadyTime At = Now - std::chrono::milliseconds(W.AgeMs_);
-    SteadyTime &Known = WatchedAt_[W.Watcher_];
-    Known = std::max(Known, At);
+    SteadyTime &Latest = PlatformAnswerAt_[W.Watcher_];
+    Latest = std::max(Latest, At);
   }
 }
 
-bool ControlPlane::Impl::linkedTo(const std::string &Name,
-                                  const std::string &Target) const {
+bool ControlPlane::Impl::isLinkedTo(const std::string &Name,
+                                    const std::string &Target) const {
   if (Connecting_.count(Target) != 0)
     return true;
-  for (const auto &[Which, L] : Links_)
+  for (const auto &[Id, L] : Links_)
     if (L.Target_ == Target || (!Name.empty() && L.Peer_ == Name))
       return true;
   return false;
 }
 
-void ControlPlane::Impl::keepLinks() {
+void ControlPlane::Impl::openMissingLinks() {
   if (!Hosts_) {
     for (const Endpoint &Seed : Settings_.Seeds_)
-      if (!linkedTo("", formatEndpoint(Seed)))
+      if (!isLinkedTo("", formatEndpoint(Seed)))
         connect(formatEndpoint(Seed));
     return;
   }
-  for (const Host &H : Chosen_)
-    if (!linkedTo(H.Name_, formatEndpoint(H.Control_)))
+  for (const Host &H : ChosenPeers_)
+    if (!isLinkedTo(H.Name_, formatEndpoint(H.Control_)))
       connect(formatEndpoint(H.Control_));
 }
 
@@ -248,46 +248,47 @@
 }
 
 /// Of two links between two balancers, the one that the later name opened goes.
-void ControlPlane::Impl::closeSpareLink(LinkId Which, const std::string &Peer) {
-  auto Known = Links_.find(Which);
-  bool Ours = Known != Links_.end() && !Known->second.Target_.empty();
+void ControlPlane::Impl::closeDuplicateLink(LinkId Id,
+                                            const std::string &Peer) {
+  auto It = Links_.find(Id);
+  bool Ours = It != Links_.end() && !It->second.Target_.empty();
   auto Count =
       std::count_if(Links_.begin(), Links_.end(), [&](const auto &Item) {
         return Item.second.Peer_ == Peer;
       });
   if (!Ours || Count < 2 || Settings_.Name_ < Peer)
     return;
-  Peers_.close(Which);
+  Peers_.close(Id);
 }
 
-void ControlPlane::Impl::schedule() {
-  Timer_.expires_after(HeartbeatEvery);
+void ControlPlane::Impl::scheduleHeartbeat() {
+  Timer_.expires_after(HeartbeatInterval);
   Timer_.async_wait([this](const asio::error_code &Error) {
     if (Error)
       return;
-    keepLinks();
+    openMissingLinks();
     sendAll(heartbeat());
-    schedule();
+    scheduleHeartbeat();
   });
 }
 
 void ControlPlane::Impl::setHosts(HostListPtr Hosts) {
   Hosts_ = std::move(Hosts);
-  Chosen_ = choosePeers(*Hosts_, Settings_.Name_, Settings_.DataHall_,
-                        Settings_.PeerLinks_);
-  HallOf_.clear();
+  ChosenPeers_ = choosePeers(*Hosts_, Settings_.Name_, Settings_.DataHall_,
+                             Settings_.PeerLinks_);
+  HallByName_.clear();
   for (const Host &H : Hosts_->Hosts_)
-    HallOf_[H.Name_] = H.DataHall_;
-  keepLinks();
+    HallByName_[H.Name_] = H.DataHall_;
+  openMissingLinks();
 }
 
 void ControlPlane::Impl::setDocument(DocumentKind Kind,
-                                     const DocumentVersion &Which,
+                                     const DocumentVersion &NewVersion,
                                      std::string Text) {
   Document &D = Documents_[raw(Kind)];
-  if (!(D.Which_ < Which))
+  if (!(D.Version_ < NewVersion))
     return;
-  D = {Which, std::move(Text)};
+  D = {NewVersion, std::move(Text)};
   sendAll(heartbeat());
 }
 
@@ -301,23 +302,24 @@
 }
 
 void ControlPlane::Impl::broadcast(const Succession &S) {
-  if (Successions_.size() == MaxSuccessionsKept)
+  if (Successions_.size() == MaxSuccessions)
     Successions_.erase(Successions_.begin());
   Successions_.push_back(S);
   sendAll(SuccessionMessage{S});
 }
 
 void ControlPlane::Impl::recordPlatformAnswer() {
-  WatchedAt_[static_cast<BalancerId>(nameId(Settings_.Name_))] =
+  PlatformAnswerAt_[static_cast<BalancerId>(nameId(Settings_.Name_))] =
       std::chrono::steady_clock::now();
 }
 
 std::vector<std::string> ControlPlane::Impl::staleWatchers() const {
   auto Now = std::chrono::steady_clock::now();
   std::vector<std::string> Result;
-  for (const auto &[Name, Hall] : HallOf_) {
-    auto Known = WatchedAt_.find(static_cast<BalancerId>(nameId(Name)));
-    bool Fresh = Known != WatchedAt_.end() && Now - Known->second < SilentAfter;
+  for (const auto &[Name, Hall] : HallByName_) {
+    auto It = PlatformAnswerAt_.find(static_cast<BalancerId>(nameId(Name)));
+    bool Fresh =
+        It != PlatformAnswerAt_.end() && Now - It->second < WatcherStaleAfter;
     if (Hall == Settings_.DataHall_ && !Fresh)
       Result.push_back(Name);
   }
@@ -339,9 +341,10 @@
 void ControlPlane::setHosts(HostListPtr Hosts) {
   Impl_->setHosts(std::move(Hosts));
 }
-void ControlPlane::setDocument(DocumentKind Kind, const DocumentVersion &Which,
+void ControlPlane::setDocument(DocumentKind Kind,
+                               const DocumentVersion &NewVersion,
                                std::string Text) {
-  Impl_->setDocument(Kind, Which, std::move(Text));
+  Impl_->setDocument(Kind, NewVersion, std::move(Text));
 }
 void ControlPlane::setLeaving() { Impl_->setLeaving(); }
 void ControlPlane::requestHeartbeats(std::uint64_t RefreshId) {
--- a/src/control-plane.h
+++ b/src/control-plane.h
@@ -40,7 +40,7 @@
 
   void setHosts(HostListPtr Hosts);
   /// Sets the document that peers may fetch and announces its version.
-  void setDocument(DocumentKind Kind, const DocumentVersion &Which,
+  void setDocument(DocumentKind Kind, const DocumentVersion &NewVersion,
                    std::string Text);
   /// Announces that this balancer is stopping.
   void setLeaving();
--- a/src/control.cc
+++ b/src/control.cc
@@ -13,12 +13,12 @@
 constexpr std::size_t TagSize = crypto_shorthash_siphashx24_BYTES;
 constexpr std::size_t MaxSuccessors = 64;
 
-enum class Type : std::uint8_t {
+enum class MessageType : std::uint8_t {
   Heartbeat = 1,
-  Wanted,
-  Sent,
+  DocumentRequest,
+  Document,
   Succession,
-  Asked
+  HeartbeatRequest
 };
 
 Json toJson(const Heartbeat &M) {
@@ -28,7 +28,7 @@
   Json Watchers = Json::array();
   for (const WatcherAge &W : M.Watchers_)
     Watchers.push_back(Json::array({raw(W.Watcher_), W.AgeMs_}));
-  return {raw(Type::Heartbeat),
+  return {raw(MessageType::Heartbeat),
           M.Name_,
           formatEndpoint(M.Data_),
           raw(M.Incarnation_),
@@ -39,22 +39,22 @@
 }
 
 Json toJson(const HeartbeatRequest &M) {
-  return {raw(Type::Asked), M.RefreshId_};
+  return {raw(MessageType::HeartbeatRequest), M.RefreshId_};
 }
 
 Json toJson(const DocumentRequest &M) {
-  return {raw(Type::Wanted), raw(M.Kind_)};
+  return {raw(MessageType::DocumentRequest), raw(M.Kind_)};
 }
 
 Json toJson(const DocumentMessage &M) {
-  return {raw(Type::Sent), raw(M.Kind_), M.Text_};
+  return {raw(MessageType::Document), raw(M.Kind_), M.Text_};
 }
 
 Json toJson(const SuccessionMessage &M) {
   Json Successors = Json::array();
   for (const Successor &S : M.Succession_.Successors_)
     Successors.push_back({formatEndpoint(S.Data_), raw(S.Incarnation_)});
-  return {raw(Type::Succession), raw(M.Succession_.Home_),
+  return {raw(MessageType::Succession), raw(M.Succession_.Home_),
           M.Succession_.Fence_.time_since_epoch().count(), Successors};
 }
 
@@ -112,16 +112,16 @@
 }
 
 ControlMessage fromJson(const Json &J) {
-  switch (static_cast<Type>(J.at(0).get<std::uint8_t>())) {
-  case Type::Heartbeat:
+  switch (static_cast<MessageType>(J.at(0).get<std::uint8_t>())) {
+  case MessageType::Heartbeat:
     return heartbeatFrom(J);
-  case Type::Wanted:
+  case MessageType::DocumentRequest:
     return DocumentRequest{kindFrom(J.at(1))};
-  case Type::Sent:
+  case MessageType::Document:
     return DocumentMessage{kindFrom(J.at(1)), J.at(2).get<std::string>()};
-  case Type::Succession:
+  case MessageType::Succession:
     return successionFrom(J);
-  case Type::Asked:
+  case MessageType::HeartbeatRequest:
     return HeartbeatRequest{J.at(1).get<std::uint64_t>()};
   }
   throw OutOfRange();
@@ -134,7 +134,7 @@
 }
 
 /// Balancers that stay, by falling rendezvous score for \p Self.
-std::vector<Host> ranked(const HostList &Hosts, std::uint64_t Salt) {
+std::vector<Host> rankBalancers(const HostList &Hosts, std::uint64_t Salt) {
   std::vector<Host> Result;
   for (const Host &H : Hosts.Hosts_)
     if (H.Role_ == Host::Role::Balancer && !H.Leaving_)
@@ -165,13 +165,13 @@
     return ErrorKind::Oversized;
   if (Bytes.size() <= TagSize)
     return ErrorKind::Malformed;
-  bool Known = false;
+  bool TagMatches = false;
   for (const SecretKey &Secret : Keys) {
     unsigned char Tag[TagSize];
     makeTag(Bytes.data() + TagSize, Bytes.size() - TagSize, Secret, Tag);
-    Known = Known || sodium_memcmp(Tag, Bytes.data(), TagSize) == 0;
+    TagMatches = TagMatches || sodium_memcmp(Tag, Bytes.data(), TagSize) == 0;
   }
-  if (!Known)
+  if (!TagMatches)
     return ErrorKind::BadTag;
   try {
     M = fromJson(Json::from_cbor(Bytes.begin() + TagSize, Bytes.end()));
@@ -183,31 +183,30 @@
 
 std::vector<Host> choosePeers(const HostList &Hosts, const std::string &Self,
                               const std::string &DataHall, std::size_t Limit) {
-  std::vector<Host> Near;
-  std::vector<Host> Far;
-  for (Host &H : ranked(Hosts, nameId(Self)))
+  std::vector<Host> SameHall;
+  std::vector<Host> OtherHalls;
+  for (Host &H : rankBalancers(Hosts, nameId(Self)))
     if (H.Name_ != Self)
-      (H.DataHall_ == DataHall ? Near : Far).push_back(std::move(H));
-  std::size_t FarShare = std::min(Far.size(), (Limit + 1) / 2);
-  std::size_t NearShare = std::min(Near.size(), Limit - FarShare);
-  FarShare = std::min(Far.size(), Limit - NearShare);
-  std::vector<Host> Result(Near.begin(),
-                           Near.begin() + static_cast<long>(NearShare));
-  Result.insert(Result.end(), Far.begin(),
-                Far.begin() + static_cast<long>(FarShare));
+      (H.DataHall_ == DataHall ? SameHall : OtherHalls).push_back(std::move(H));
+  std::size_t OtherCount = std::min(OtherHalls.size(), (Limit + 1) / 2);
+  std::size_t SameCount = std::min(SameHall.size(), Limit - OtherCount);
+  OtherCount = std::min(OtherHalls.size(), Limit - SameCount);
+  std::vector<Host> Result(SameHall.begin(),
+                           SameHall.begin() + static_cast<long>(SameCount));
+  Result.insert(Result.end(), OtherHalls.begin(),
+                OtherHalls.begin() + static_cast<long>(OtherCount));
   return Result;
 }
 
 bool watchesPlatform(const HostList &Hosts, const std::string &Self,
                      const std::string &DataHall, std::size_t PerHall,
-                     const std::vector<std::string> &Silent) {
+                     const std::vector<std::string> &Stale) {
   std::size_t Rank = 0;
-  for (const Host &H : ranked(Hosts, nameId(DataHall))) {
+  for (const Host &H : rankBalancers(Hosts, nameId(DataHall))) {
     if (H.Name_ == Self)
       return Rank < PerHall;
-    bool Heard =
-        std::find(Silent.begin(), Silent.end(), H.Name_) == Silent.end();
-    if (H.DataHall_ == DataHall && Heard)
+    bool Recent = std::find(Stale.begin(), Stale.end(), H.Name_) == Stale.end();
+    if (H.DataHall_ == DataHall && Recent)
       ++Rank;
   }
   return true; // not listed yet
--- a/src/core.cc
+++ b/src/core.cc
@@ -13,52 +13,58 @@
 }
 
 std::uint64_t hashPair(std::uint64_t A, std::uint64_t B) {
-  std::uint64_t Both[2] = {A, B};
-  return XXH64(Both, sizeof Both, 0);
+  std::uint64_t Values[2] = {A, B};
+  return XXH64(Values, sizeof Values, 0);
 }
 
 namespace {
 
 using namespace std::chrono_literals;
 
-constexpr Micros Now = 0us;
-constexpr Micros Soon = 200ms;
-constexpr Micros Later = 1s;
+constexpr Micros NoDelay = 0us;
+constexpr Micros ShortDelay = 200ms;
+constexpr Micros LongDelay = 1s;
 
-constexpr ErrorRow Rows[] = {
-    {ErrorKind::None, "none", ErrorResponse::Drop, Now},
-    {ErrorKind::Malformed, "malformed", ErrorResponse::Drop, Now},
-    {ErrorKind::Oversized, "oversized", ErrorResponse::Drop, Now},
-    {ErrorKind::ForgedRoute, "forged_route", ErrorResponse::Drop, Now},
-    {ErrorKind::UnknownService, "unknown_service", ErrorResponse::Drop, Now},
-    {ErrorKind::NotReady, "not_ready", ErrorResponse::NotRun, Soon},
-    {ErrorKind::NoUpstream, "no_upstream", ErrorResponse::NotRun, Later},
-    {ErrorKind::Overloaded, "overloaded", ErrorResponse::NotRun, Soon},
+constexpr ErrorRow ErrorRows[] = {
+    {ErrorKind::None, "none", ErrorResponse::Drop, NoDelay},
+    {ErrorKind::Malformed, "malformed", ErrorResponse::Drop, NoDelay},
+    {ErrorKind::Oversized, "oversized", ErrorResponse::Drop, NoDelay},
+    {ErrorKind::ForgedRoute, "forged_route", ErrorResponse::Drop, NoDelay},
+    {ErrorKind::UnknownService, "unknown_service", ErrorResponse::Drop,
+     NoDelay},
+    {ErrorKind::NotReady, "not_ready", ErrorResponse::NotRun, ShortDelay},
+    {ErrorKind::NoUpstream, "no_upstream", ErrorResponse::NotRun, LongDelay},
+    {ErrorKind::Overloaded, "overloaded", ErrorResponse::NotRun, ShortDelay},
     {ErrorKind::UpstreamRefused, "upstream_refused", ErrorResponse::NotRun,
-     Soon},
-    {ErrorKind::FlowUnknown, "flow_unknown", ErrorResponse::NotRun, Now},
-    {ErrorKind::DeadlinePassed, "deadline_passed", ErrorResponse::NotRun, Now},
-    {ErrorKind::DeadlineTooFar, "deadline_too_far", ErrorResponse::NotRun, Now},
-    {ErrorKind::NoAnswer, "no_answer", ErrorResponse::OutcomeUnknown, Soon},
+     ShortDelay},
+    {ErrorKind::FlowUnknown, "flow_unknown", ErrorResponse::NotRun, NoDelay},
+    {ErrorKind::DeadlinePassed, "deadline_passed", ErrorResponse::NotRun,
+     NoDelay},
+    {ErrorKind::DeadlineTooFar, "deadline_too_far", ErrorResponse::NotRun,
+     NoDelay},
+    {ErrorKind::NoAnswer, "no_answer", ErrorResponse::OutcomeUnknown,
+     ShortDelay},
     {ErrorKind::HomeUnreachable, "home_unreachable",
-     ErrorResponse::OutcomeUnknown, Now},
-    {ErrorKind::NumberUsed, "number_used", ErrorResponse::OutcomeUnknown, Now},
+     ErrorResponse::OutcomeUnknown, NoDelay},
+    {ErrorKind::NumberUsed, "number_used", ErrorResponse::OutcomeUnknown,
+     NoDelay},
     {ErrorKind::RouteRequired, "route_required", ErrorResponse::OutcomeUnknown,
-     Now},
-    {ErrorKind::LateAnswer, "late_answer", ErrorResponse::Drop, Now},
-    {ErrorKind::RepeatedPart, "repeated_part", ErrorResponse::Drop, Now},
-    {ErrorKind::UnknownSender, "unknown_sender", ErrorResponse::Drop, Now},
-    {ErrorKind::BadTag, "bad_tag", ErrorResponse::Drop, Now},
-    {ErrorKind::NotFromCaller, "not_from_caller", ErrorResponse::Drop, Now},
-    {ErrorKind::UnknownAddress, "unknown_address", ErrorResponse::Reset, Now},
-    {ErrorKind::TableNotFresh, "table_not_fresh", ErrorResponse::Drop, Now},
-    {ErrorKind::UnknownCookie, "unknown_cookie", ErrorResponse::Drop, Now},
-    {ErrorKind::NoneLeft, "none_left", ErrorResponse::Drop, Now},
-    {ErrorKind::UpstreamDead, "upstream_dead", ErrorResponse::Reset, Now},
-    {ErrorKind::AllEvacuated, "all_evacuated", ErrorResponse::Reset, Now},
-    {ErrorKind::AllCold, "all_cold", ErrorResponse::Reset, Now},
+     NoDelay},
+    {ErrorKind::LateAnswer, "late_answer", ErrorResponse::Drop, NoDelay},
+    {ErrorKind::RepeatedPart, "repeated_part", ErrorResponse::Drop, NoDelay},
+    {ErrorKind::UnknownSender, "unknown_sender", ErrorResponse::Drop, NoDelay},
+    {ErrorKind::BadTag, "bad_tag", ErrorResponse::Drop, NoDelay},
+    {ErrorKind::NotFromCaller, "not_from_caller", ErrorResponse::Drop, NoDelay},
+    {ErrorKind::UnknownAddress, "unknown_address", ErrorResponse::Reset,
+     NoDelay},
+    {ErrorKind::TableNotFresh, "table_not_fresh", ErrorResponse::Drop, NoDelay},
+    {ErrorKind::UnknownCookie, "unknown_cookie", ErrorResponse::Drop, NoDelay},
+    {ErrorKind::NoneLeft, "none_left", ErrorResponse::Drop, NoDelay},
+    {ErrorKind::UpstreamDead, "upstream_dead", ErrorResponse::Reset, NoDelay},
+    {ErrorKind::AllEvacuated, "all_evacuated", ErrorResponse::Reset, NoDelay},
+    {ErrorKind::AllCold, "all_cold", ErrorResponse::Reset, NoDelay},
 };
-static_assert(sizeof Rows / sizeof Rows[0] ==
+static_assert(sizeof ErrorRows / sizeof ErrorRows[0] ==
                   static_cast<std::size_t>(ErrorKind::Count),
               "every error kind has a row");
 
@@ -66,8 +72,8 @@
 
 const ErrorRow &errorRow(ErrorKind Kind) {
   if (Kind >= ErrorKind::Count)
-    return Rows[static_cast<std::size_t>(ErrorKind::Malformed)];
-  return Rows[static_cast<std::size_t>(Kind)];
+    return ErrorRows[static_cast<std::size_t>(ErrorKind::Malformed)];
+  return ErrorRows[static_cast<std::size_t>(Kind)];
 }
 
 Endpoint parseEndpoint(std::string_view Text) {
@@ -80,32 +86,32 @@
       std::from_chars(PortText.data(), PortText.data() + PortText.size(), Port);
   if (Error != std::errc() || End != PortText.data() + PortText.size())
     return {};
-  std::string Host(Text.substr(0, Colon));
-  in_addr Four{};
-  if (inet_pton(AF_INET, Host.c_str(), &Four) == 1)
-    return Endpoint::v4(ntohl(Four.s_addr), Port);
-  if (Host.size() < 2 || Host.front() != '[' || Host.back() != ']')
+  std::string Address(Text.substr(0, Colon));
+  in_addr Ipv4{};
+  if (inet_pton(AF_INET, Address.c_str(), &Ipv4) == 1)
+    return Endpoint::v4(ntohl(Ipv4.s_addr), Port);
+  if (Address.size() < 2 || Address.front() != '[' || Address.back() != ']')
     return {};
-  Host = Host.substr(1, Host.size() - 2);
+  Address = Address.substr(1, Address.size() - 2);
   Endpoint Result;
-  if (inet_pton(AF_INET6, Host.c_str(), Result.Ip_.data()) != 1)
+  if (inet_pton(AF_INET6, Address.c_str(), Result.Ip_.data()) != 1)
     return {};
   Result.Port_ = Port;
   return Result;
 }
 
-std::string formatEndpoint(const Endpoint &Where) {
+std::string formatEndpoint(const Endpoint &Value) {
   static constexpr std::array<std::uint8_t, 12> Mapped = {
       0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0xff, 0xff};
   char Text[INET6_ADDRSTRLEN];
-  bool IsFour =
-      std::memcmp(Where.Ip_.data(), Mapped.data(), Mapped.size()) == 0;
-  if (IsFour) {
-    inet_ntop(AF_INET, Where.Ip_.data() + 12, Text, sizeof Text);
-    return std::string(Text) + ":" + std::to_string(Where.Port_);
+  bool IsIpv4 =
+      std::memcmp(Value.Ip_.data(), Mapped.data(), Mapped.size()) == 0;
+  if (IsIpv4) {
+    inet_ntop(AF_INET, Value.Ip_.data() + 12, Text, sizeof Text);
+    return std::string(Text) + ":" + std::to_string(Value.Port_);
   }
-  inet_ntop(AF_INET6, Where.Ip_.data(), Text, sizeof Text);
-  return "[" + std::string(Text) + "]:" + std::to_string(Where.Port_);
+  inet_ntop(AF_INET6, Value.Ip_.data(), Text, sizeof Text);
+  return "[" + std::string(Text) + "]:" + std::to_string(Value.Port_);
 }
 
 } // namespace thymewall
--- a/src/declaration-serving.cc
+++ b/src/declaration-serving.cc
@@ -13,7 +13,7 @@
 constexpr std::uint8_t DaysInWeek = 7;
 constexpr std::uint16_t MinutesInDay = 24 * 60;
 
-bool onDay(const Window &W, int Weekday) {
+bool includesDay(const Window &W, int Weekday) {
   return ((W.Days_ >> ((Weekday + DaysInWeek) % DaysInWeek)) & 1) != 0;
 }
 
@@ -22,13 +22,13 @@
 bool matches(const Term &T, const Labels &L) {
   auto Found = L.find(T.Key_);
   bool Present = Found != L.end();
-  bool Listed = Present && std::find(T.Values_.begin(), T.Values_.end(),
-                                     Found->second) != T.Values_.end();
+  bool InValues = Present && std::find(T.Values_.begin(), T.Values_.end(),
+                                       Found->second) != T.Values_.end();
   switch (T.Operator_) {
   case Term::Operator::In:
-    return Listed;
+    return InValues;
   case Term::Operator::NotIn:
-    return !Listed;
+    return !InValues;
   case Term::Operator::Exists:
     return Present;
   case Term::Operator::Absent:
@@ -39,11 +39,11 @@
 
 bool contains(const Window &W, LocalMinute Local) {
   if (W.FromMinute_ < W.ToMinute_)
-    return onDay(W, Local.Weekday_) && Local.Minute_ >= W.FromMinute_ &&
+    return includesDay(W, Local.Weekday_) && Local.Minute_ >= W.FromMinute_ &&
            Local.Minute_ < W.ToMinute_;
   if (Local.Minute_ >= W.FromMinute_)
-    return onDay(W, Local.Weekday_);
-  return Local.Minute_ < W.ToMinute_ && onDay(W, Local.Weekday_ - 1);
+    return includesDay(W, Local.Weekday_);
+  return Local.Minute_ < W.ToMinute_ && includesDay(W, Local.Weekday_ - 1);
 }
 
 const Service *Declaration::service(ServiceId Id) const {
@@ -59,10 +59,10 @@
 
 namespace {
 
-bool active(const Selector &S, const TimeZoneClock &Zones, WallTime When) {
+bool isActive(const Selector &S, const TimeZoneClock &Clock, WallTime When) {
   if (!S.Window_)
     return true;
-  auto Local = Zones(S.Window_->TimeZone_, When);
+  auto Local = Clock(S.Window_->TimeZone_, When);
   return Local && contains(*S.Window_, *Local);
 }
 
@@ -75,38 +75,39 @@
   return D.EvacuatedHalls_.count(U.DataHall_) != 0;
 }
 
-using Selected = std::vector<std::vector<std::size_t>>;
+using SelectedUpstreams = std::vector<std::vector<std::size_t>>;
 
 /// For each service, the indexes of its upstreams under the active selectors.
-Selected selectAll(const Declaration &D, const std::vector<bool> &Active) {
-  Selected Result(D.Services_.size());
+SelectedUpstreams selectAll(const Declaration &D,
+                            const std::vector<bool> &Active) {
+  SelectedUpstreams Result(D.Services_.size());
   for (std::size_t Index = 0; Index < D.Upstreams_.size(); ++Index)
     for (std::size_t S = 0; S < D.Selectors_.size(); ++S) {
-      const Selector &Which = D.Selectors_[S];
+      const Selector &Candidate = D.Selectors_[S];
       const Upstream &U = D.Upstreams_[Index];
-      if (!Active[S] || !allMatch(Which, U.Labels_) || isEvacuated(D, U))
+      if (!Active[S] || !allMatch(Candidate, U.Labels_) || isEvacuated(D, U))
         continue;
-      auto &Into = Result[Which.Service_];
-      if (Into.empty() || Into.back() != Index)
-        Into.push_back(Index);
+      auto &Indexes = Result[Candidate.Service_];
+      if (Indexes.empty() || Indexes.back() != Index)
+        Indexes.push_back(Index);
     }
   return Result;
 }
 
 /// A name that nothing stands in is a mistake in writing.
 void checkEvacuated(const Declaration &D, ProblemList &Found) {
-  std::set<std::string> Named;
+  std::set<std::string> DataHalls;
   for (const Upstream &U : D.Upstreams_)
-    Named.insert(U.DataHall_);
+    DataHalls.insert(U.DataHall_);
   for (const BalancerEntry &B : D.Balancers_)
-    Named.insert(B.DataHall_);
+    DataHalls.insert(B.DataHall_);
   for (const std::string &DataHall : D.EvacuatedHalls_)
-    if (Named.count(DataHall) == 0)
+    if (DataHalls.count(DataHall) == 0)
       Found.add("evacuated_data_halls",
                 "no upstream or balancer is in \"" + DataHall + "\"");
 }
 
-std::string minuteText(WallTime When) {
+std::string formatMinute(WallTime When) {
   auto Seconds = static_cast<std::time_t>(
       std::chrono::duration_cast<std::chrono::seconds>(When.time_since_epoch())
           .count());
@@ -120,69 +121,69 @@
 } // namespace
 
 std::string explain(const Declaration &D, const Service &S, const Upstream &U,
-                    const TimeZoneClock &Zones, WallTime When) {
+                    const TimeZoneClock &Clock, WallTime When) {
   if (isEvacuated(D, U))
     return "data hall \"" + U.DataHall_ + "\" is evacuated";
-  std::string First;
-  for (const Selector &Which : D.Selectors_) {
-    if (&D.Services_[Which.Service_] != &S)
+  std::string FirstReason;
+  for (const Selector &Candidate : D.Selectors_) {
+    if (&D.Services_[Candidate.Service_] != &S)
       continue;
     std::string Reason;
-    for (const Term &T : Which.Terms_)
+    for (const Term &T : Candidate.Terms_)
       if (Reason.empty() && !matches(T, U.Labels_))
         Reason = "label \"" + T.Key_ + "\" does not match";
-    if (Reason.empty() && !active(Which, Zones, When))
+    if (Reason.empty() && !isActive(Candidate, Clock, When))
       Reason = "outside the selector's window";
     if (Reason.empty())
       return {};
-    if (First.empty())
-      First = Reason;
+    if (FirstReason.empty())
+      FirstReason = Reason;
   }
-  return First.empty() ? "the service has no selector" : First;
+  return FirstReason.empty() ? "the service has no selector" : FirstReason;
 }
 
 std::vector<std::size_t> eligibleUpstreams(const Declaration &D,
                                            const Service &S,
-                                           const TimeZoneClock &Zones,
+                                           const TimeZoneClock &Clock,
                                            WallTime When) {
   std::vector<bool> Active;
-  for (const Selector &Which : D.Selectors_)
-    Active.push_back(&D.Services_[Which.Service_] == &S &&
-                     active(Which, Zones, When));
+  for (const Selector &Candidate : D.Selectors_)
+    Active.push_back(&D.Services_[Candidate.Service_] == &S &&
+                     isActive(Candidate, Clock, When));
   auto Index = static_cast<std::size_t>(&S - D.Services_.data());
   return selectAll(D, Active)[Index];
 }
 
 Problems checkWeek(const Declaration &D, const std::string &File,
-                   const TimeZoneClock &Zones, WallTime From) {
+                   const TimeZoneClock &Clock, WallTime From) {
   constexpr int MinutesInWeek = DaysInWeek * MinutesInDay;
   ProblemList Found(File);
   checkEvacuated(D, Found);
-  std::set<std::pair<std::string, std::string>> Told;
-  std::vector<bool> Last;
+  std::set<std::pair<std::string, std::string>> Reported;
+  std::vector<bool> PreviousActive;
   for (int Minute = 0; Minute < MinutesInWeek; ++Minute) {
     WallTime When = From + std::chrono::minutes(Minute);
     std::vector<bool> Active;
     for (const Selector &S : D.Selectors_)
-      Active.push_back(active(S, Zones, When));
-    if (Minute != 0 && Active == Last)
+      Active.push_back(isActive(S, Clock, When));
+    if (Minute != 0 && Active == PreviousActive)
       continue;
-    Last = Active;
-    std::vector<int> Uses(D.Upstreams_.size(), 0);
-    Selected All = selectAll(D, Active);
-    for (std::size_t S = 0; S < All.size(); ++S) {
-      for (std::size_t Index : All[S])
-        ++Uses[Index];
+    PreviousActive = Active;
+    std::vector<int> ServiceCounts(D.Upstreams_.size(), 0);
+    SelectedUpstreams Selected = selectAll(D, Active);
+    for (std::size_t S = 0; S < Selected.size(); ++S) {
+      for (std::size_t Index : Selected[S])
+        ++ServiceCounts[Index];
       const std::string &Name = D.Services_[S].Name_;
-      if (All[S].empty() && Told.emplace("services", Name).second)
+      if (Selected[S].empty() && Reported.emplace("services", Name).second)
         Found.add("services." + Name,
-                  "has no upstream from " + minuteText(When));
+                  "has no upstream from " + formatMinute(When));
     }
-    for (std::size_t U = 0; U < Uses.size(); ++U) {
+    for (std::size_t U = 0; U < ServiceCounts.size(); ++U) {
       const std::string &Name = D.Upstreams_[U].Name_;
-      if (Uses[U] > 1 && Told.emplace("upstreams", Name).second)
+      if (ServiceCounts[U] > 1 && Reported.emplace("upstreams", Name).second)
         Found.add("upstreams." + Name,
-                  "serves two services from " + minuteText(When));
+                  "serves two services from " + formatMinute(When));
     }
   }
   return Found.all();
--- a/src/declaration.cc
+++ b/src/declaration.cc
@@ -22,8 +22,8 @@
 /// Reads one document into a declaration; one function a part.
 class Parser {
 public:
-  Parser(const std::string &File, const TimeZoneClock &Zones)
-      : Found_(File), Zones_(Zones) {}
+  Parser(const std::string &File, const TimeZoneClock &Clock)
+      : Found_(File), Clock_(Clock) {}
 
   DeclarationPtr parse(std::string Text);
   const Problems &problems() const { return Found_.all(); }
@@ -38,19 +38,19 @@
   std::uint16_t readMinute(ObjectReader &Reader, const char *Key);
   Labels readLabels(ObjectReader &Reader);
   void readEvacuated(ObjectReader &Reader);
-  void claim(const std::string &Group, const std::string &Name,
-             const std::string &Path);
+  void claimName(const std::string &Group, const std::string &Name,
+                 const std::string &Path);
 
   template <typename Function>
-  void each(const Json &Array, const char *Key, Function Read) {
+  void forEachItem(const Json &Array, const char *Key, Function Read) {
     for (std::size_t I = 0; I < Array.size(); ++I)
       Read(Array[I], std::string(Key) + "[" + std::to_string(I) + "]");
   }
 
   ProblemList Found_;
-  const TimeZoneClock &Zones_;
+  const TimeZoneClock &Clock_;
   Declaration Result_;
-  std::map<std::string, std::map<std::uint32_t, std::string>> Claimed_;
+  std::map<std::string, std::map<std::uint32_t, std::string>> NamesById_;
   std::set<std::uint16_t> Ports_;
   std::set<Endpoint> Addresses_;
 };
@@ -67,14 +67,14 @@
   Result_.Version_ =
       static_cast<Version>(Reader.integer("version", 1, INT64_MAX));
   Reader.stringOr("comment", "");
-  each(Reader.array("services"), "services",
-       [this](auto &&...Args) { readService(Args...); });
-  each(Reader.array("upstreams"), "upstreams",
-       [this](auto &&...Args) { readUpstream(Args...); });
-  each(Reader.array("balancers", false), "balancers",
-       [this](auto &&...Args) { readBalancer(Args...); });
-  each(Reader.array("selectors"), "selectors",
-       [this](auto &&...Args) { readSelector(Args...); });
+  forEachItem(Reader.array("services"), "services",
+              [this](auto &&...Args) { readService(Args...); });
+  forEachItem(Reader.array("upstreams"), "upstreams",
+              [this](auto &&...Args) { readUpstream(Args...); });
+  forEachItem(Reader.array("balancers", false), "balancers",
+              [this](auto &&...Args) { readBalancer(Args...); });
+  forEachItem(Reader.array("selectors"), "selectors",
+              [this](auto &&...Args) { readSelector(Args...); });
   readEvacuated(Reader);
   Reader.finish();
   if (!Found_.empty())
@@ -84,16 +84,16 @@
   return std::make_shared<const Declaration>(std::move(Result_));
 }
 
-void Parser::claim(const std::string &Group, const std::string &Name,
-                   const std::string &Path) {
+void Parser::claimName(const std::string &Group, const std::string &Name,
+                       const std::string &Path) {
   if (Name.empty())
     return;
-  auto [At, Fresh] = Claimed_[Group].emplace(nameId(Name), Name);
-  if (!Fresh)
+  auto [It, Inserted] = NamesById_[Group].emplace(nameId(Name), Name);
+  if (!Inserted)
     Found_.add(Path + ".name",
-               At->second == Name
+               It->second == Name
                    ? "\"" + Name + "\" is declared twice"
-                   : "\"" + Name + "\" has the identifier of \"" + At->second +
+                   : "\"" + Name + "\" has the identifier of \"" + It->second +
                          "\"; choose another name");
 }
 
@@ -102,7 +102,7 @@
   Service S;
   S.Name_ = Reader.string("name");
   S.Id_ = static_cast<ServiceId>(nameId(S.Name_));
-  claim("services", S.Name_, Path);
+  claimName("services", S.Name_, Path);
   S.Port_ = static_cast<std::uint16_t>(Reader.integer("port", 1, 65535));
   if (!Ports_.insert(S.Port_).second)
     Reader.addProblem("port", "is the port of another service");
@@ -138,7 +138,7 @@
   Upstream U;
   U.Name_ = Reader.string("name");
   U.Id_ = static_cast<UpstreamId>(nameId(U.Name_));
-  claim("upstreams", U.Name_, Path);
+  claimName("upstreams", U.Name_, Path);
   U.Address_ = Reader.endpoint("address");
   if (!U.Address_.empty() && !Addresses_.insert(U.At_).second)
     Reader.addProblem("address", "is the address of another upstream");
@@ -154,7 +154,7 @@
   ObjectReader Reader(Object, Path, Found_);
   BalancerEntry B;
   B.Name_ = Reader.string("name");
-  claim("balancers", B.Name_, Path);
+  claimName("balancers", B.Name_, Path);
   B.DataHall_ = Reader.string("data_hall");
   B.Labels_ = readLabels(Reader);
   Reader.finish();
@@ -165,15 +165,15 @@
   ObjectReader Reader(Object, Path, Found_);
   Selector S;
   std::string Name = Reader.string("service");
-  auto Known = std::find_if(Result_.Services_.begin(), Result_.Services_.end(),
-                            [&](const Service &K) { return K.Name_ == Name; });
-  if (Known == Result_.Services_.end() && !Name.empty())
+  auto It = std::find_if(Result_.Services_.begin(), Result_.Services_.end(),
+                         [&](const Service &K) { return K.Name_ == Name; });
+  if (It == Result_.Services_.end() && !Name.empty())
     Reader.addProblem("service", "\"" + Name + "\" is not a declared service");
-  S.Service_ = static_cast<std::size_t>(Known - Result_.Services_.begin());
-  each(Reader.array("terms"), (Path + ".terms").c_str(),
-       [&](const Json &Item, const std::string &At) {
-         S.Terms_.push_back(readTerm(Item, At));
-       });
+  S.Service_ = static_cast<std::size_t>(It - Result_.Services_.begin());
+  forEachItem(Reader.array("terms"), (Path + ".terms").c_str(),
+              [&](const Json &Item, const std::string &It) {
+                S.Terms_.push_back(readTerm(Item, It));
+              });
   if (S.Terms_.empty() && Reader.has("terms"))
     Reader.addProblem("terms", "must have at least one term");
   if (const Json *Item = Reader.objectOrNull("window"))
@@ -183,13 +183,14 @@
 }
 
 void Parser::readEvacuated(ObjectReader &Reader) {
-  each(Reader.array("evacuated_data_halls", false), "evacuated_data_halls",
-       [this](const Json &Value, const std::string &Path) {
-         if (!Value.is_string() || Value.get<std::string>().empty())
-           return Found_.add(Path, "must be the name of a data hall");
-         if (!Result_.EvacuatedHalls_.insert(Value.get<std::string>()).second)
-           Found_.add(Path, "names a data hall twice");
-       });
+  forEachItem(
+      Reader.array("evacuated_data_halls", false), "evacuated_data_halls",
+      [this](const Json &Value, const std::string &Path) {
+        if (!Value.is_string() || Value.get<std::string>().empty())
+          return Found_.add(Path, "must be the name of a data hall");
+        if (!Result_.EvacuatedHalls_.insert(Value.get<std::string>()).second)
+          Found_.add(Path, "names a data hall twice");
+      });
 }
 
 Term Parser::readTerm(const Json &Object, const std::string &Path) {
@@ -202,9 +203,9 @@
   Term T;
   T.Key_ = Reader.string("key");
   std::string Name = Reader.string("op");
-  auto Known = Operators.find(Name);
-  if (Known != Operators.end())
-    T.Operator_ = Known->second;
+  auto It = Operators.find(Name);
+  if (It != Operators.end())
+    T.Operator_ = It->second;
   else if (!Name.empty())
     Reader.addProblem("op", "must be in, notin, exists or absent");
   for (const Json &Value : Reader.array("values", false)) {
@@ -213,11 +214,11 @@
     else
       Reader.addProblem("values", "must hold strings only");
   }
-  bool Needs =
+  bool NeedsValues =
       T.Operator_ == Term::Operator::In || T.Operator_ == Term::Operator::NotIn;
-  if (Needs && T.Values_.empty())
+  if (NeedsValues && T.Values_.empty())
     Reader.addProblem("values", "must have at least one value for this op");
-  if (!Needs && !T.Values_.empty())
+  if (!NeedsValues && !T.Values_.empty())
     Reader.addProblem("values", "has no meaning for this op");
   Reader.finish();
   return T;
@@ -234,10 +235,10 @@
     Hour = Digit(0) * 10 + Digit(1);
     Minute = Digit(3) * 10 + Digit(4);
   }
-  bool Good = (Hour < 24 && Minute < 60) || (Hour == 24 && Minute == 0);
-  if (!Good && !Text.empty())
+  bool Valid = (Hour < 24 && Minute < 60) || (Hour == 24 && Minute == 0);
+  if (!Valid && !Text.empty())
     Reader.addProblem(Key, "must be a time of day from 00:00 to 24:00");
-  return Good ? static_cast<std::uint16_t>(Hour * 60 + Minute) : 0;
+  return Valid ? static_cast<std::uint16_t>(Hour * 60 + Minute) : 0;
 }
 
 Window Parser::readWindow(const Json &Object, const std::string &Path) {
@@ -246,12 +247,12 @@
   if (Reader.has("days"))
     W.Days_ = 0;
   for (const Json &Value : Reader.array("days", false)) {
-    auto Known = std::find(std::begin(DayNames), std::end(DayNames),
-                           Value.is_string() ? Value.get<std::string>() : "");
-    if (Known == std::end(DayNames))
+    auto It = std::find(std::begin(DayNames), std::end(DayNames),
+                        Value.is_string() ? Value.get<std::string>() : "");
+    if (It == std::end(DayNames))
       Reader.addProblem("days", "must hold days such as \"mon\"");
     else
-      W.Days_ |= static_cast<std::uint8_t>(1 << (Known - DayNames));
+      W.Days_ |= static_cast<std::uint8_t>(1 << (It - DayNames));
   }
   if (W.Days_ == 0)
     Reader.addProblem("days", "must name at least one day");
@@ -262,7 +263,7 @@
   if (W.FromMinute_ == MinutesInDay)
     Reader.addProblem("from", "must be before 24:00");
   W.TimeZone_ = Reader.string("zone");
-  if (!W.TimeZone_.empty() && !Zones_(W.TimeZone_, WallTime{}))
+  if (!W.TimeZone_.empty() && !Clock_(W.TimeZone_, WallTime{}))
     Reader.addProblem("zone",
                       "\"" + W.TimeZone_ + "\" is not an IANA time zone");
   Reader.finish();
@@ -273,8 +274,8 @@
 
 boost::leaf::result<DeclarationPtr>
 parseDeclaration(std::string Text, const std::string &File,
-                 const TimeZoneClock &Zones) {
-  Parser P(File, Zones);
+                 const TimeZoneClock &Clock) {
+  Parser P(File, Clock);
   if (DeclarationPtr Result = P.parse(std::move(Text)))
     return Result;
   return boost::leaf::new_error(P.problems());
--- a/src/json-reader.cc
+++ b/src/json-reader.cc
@@ -43,21 +43,22 @@
 }
 
 const Json *ObjectReader::find(const char *Key) {
-  Asked_.insert(Key);
+  ReadKeys_.insert(Key);
   return has(Key) ? &Object_.at(Key) : nullptr;
 }
 
 std::string ObjectReader::string(const char *Key) {
   const Json *Value = find(Key);
-  bool Good = Value && Value->is_string() && !Value->get<std::string>().empty();
-  if (Good)
+  bool Valid =
+      Value && Value->is_string() && !Value->get<std::string>().empty();
+  if (Valid)
     return Value->get<std::string>();
   addProblem(Key, Value ? "must be a string that is not empty" : "is missing");
   return {};
 }
 
 std::string ObjectReader::stringOr(const char *Key, std::string Default) {
-  Asked_.insert(Key);
+  ReadKeys_.insert(Key);
   return has(Key) ? string(Key) : std::move(Default);
 }
 
@@ -70,10 +71,10 @@
   }
   bool TooLarge = Value->is_number_unsigned() &&
                   Value->get<std::uint64_t>() > static_cast<std::uint64_t>(Max);
-  bool Good = Value->is_number_integer() && !TooLarge &&
-              Value->get<std::int64_t>() >= Min &&
-              Value->get<std::int64_t>() <= Max;
-  if (Good)
+  bool Valid = Value->is_number_integer() && !TooLarge &&
+               Value->get<std::int64_t>() >= Min &&
+               Value->get<std::int64_t>() <= Max;
+  if (Valid)
     return Value->get<std::int64_t>();
   addProblem(Key, rangeText(Min, Max));
   return Min;
@@ -81,7 +82,7 @@
 
 std::int64_t ObjectReader::integerOr(const char *Key, std::int64_t Default,
                                      std::int64_t Min, std::int64_t Max) {
-  Asked_.insert(Key);
+  ReadKeys_.insert(Key);
   return has(Key) ? integer(Key, Min, Max) : Default;
 }
 
@@ -90,9 +91,9 @@
   const Json *Value = find(Key);
   if (!Value)
     return Default;
-  bool Good = Value->is_number() && Value->get<double>() >= Min &&
-              Value->get<double>() <= Max;
-  if (Good)
+  bool Valid = Value->is_number() && Value->get<double>() >= Min &&
+               Value->get<double>() <= Max;
+  if (Valid)
     return Value->get<double>();
   addProblem(Key, "must be a number from " + std::to_string(Min) + " to " +
                       std::to_string(Max));
@@ -113,10 +114,10 @@
   std::string Text = string(Key);
   if (Text.empty())
     return {};
-  Endpoint Where = parseEndpoint(Text);
-  if (Where.empty())
+  Endpoint Result = parseEndpoint(Text);
+  if (Result.empty())
     addProblem(Key, "must be an IP number and port, such as 192.0.2.1:7000");
-  return Where;
+  return Result;
 }
 
 const Json &ObjectReader::array(const char *Key, bool Required) {
@@ -136,7 +137,7 @@
   if (!Object_.is_object())
     return;
   for (const auto &[Key, Value] : Object_.items())
-    if (Asked_.count(Key) == 0)
+    if (ReadKeys_.count(Key) == 0)
       addProblem(Key.c_str(), "is not a known key");
 }
 
--- a/src/json-reader.h
+++ b/src/json-reader.h
@@ -60,7 +60,7 @@
   const Json &Object_;
   std::string Path_;
   ProblemList &Found_;
-  std::set<std::string> Asked_;
+  std::set<std::string> ReadKeys_;
 };
 
 /// Reads an array of addresses; an invalid one adds a problem with its index.
--- a/src/platform-client.cc
+++ b/src/platform-client.cc
@@ -15,9 +15,9 @@
 
 using namespace std::chrono_literals;
 
-constexpr auto WatchFor = 5s;
-constexpr std::chrono::milliseconds RetryAfter = 300ms;
-constexpr auto TakenWithin = 200ms;
+constexpr auto WatchTimeout = 5s;
+constexpr std::chrono::milliseconds MinRetryDelay = 300ms;
+constexpr auto HandlerTimeout = 200ms;
 const char *const Paths[DocumentKindCount] = {"/v1/watch/declaration",
                                               "/v1/watch/hosts"};
 
@@ -31,7 +31,7 @@
     for (std::size_t K = 0; K < DocumentKindCount; ++K) {
       Clients_[K] = std::make_unique<httplib::Client>(Url);
       Clients_[K]->set_connection_timeout(1s);
-      Clients_[K]->set_read_timeout(WatchFor + 2s);
+      Clients_[K]->set_read_timeout(WatchTimeout + 2s);
       Threads_[K] = std::thread([this, K] { run(K); });
     }
   }
@@ -39,7 +39,7 @@
   ~Impl() {
     {
       std::lock_guard<std::mutex> Guard(Mutex_);
-      Ending_ = true;
+      Stopping_ = true;
     }
     Changed_.notify_all();
     for (auto &Client : Clients_)
@@ -49,11 +49,11 @@
   }
 
   void setKnownVersion(std::size_t Kind, Version Known) {
-    Known_[Kind] = Known;
+    KnownVersions_[Kind] = Known;
   }
 
-  void setMaxRetryDelay(std::chrono::milliseconds Pause) {
-    LongestPauseMs_ = std::max(Pause, RetryAfter).count();
+  void setMaxRetryDelay(std::chrono::milliseconds Delay) {
+    MaxRetryDelayMs_ = std::max(Delay, MinRetryDelay).count();
   }
 
   void setWatching(bool Watching) {
@@ -68,7 +68,7 @@
     RefreshId_ = RefreshId;
     {
       std::lock_guard<std::mutex> Guard(Mutex_);
-      ReadNow_.fill(true);
+      ReadPending_.fill(true);
     }
     Changed_.notify_all();
     for (auto &Client : Clients_)
@@ -79,41 +79,44 @@
 
 private:
   /// Takes the next piece of work; false at the end.
-  bool next(std::size_t Kind, bool &Wait) {
+  bool waitForWork(std::size_t Kind, bool &LongPoll) {
     std::unique_lock<std::mutex> Guard(Mutex_);
     Changed_.wait(Guard,
-                  [&] { return Ending_ || Watching_ || ReadNow_[Kind]; });
-    Wait = !ReadNow_[Kind];
-    ReadNow_[Kind] = false;
-    return !Ending_;
+                  [&] { return Stopping_ || Watching_ || ReadPending_[Kind]; });
+    LongPoll = !ReadPending_[Kind];
+    ReadPending_[Kind] = false;
+    return !Stopping_;
   }
 
   void run(std::size_t Kind) {
-    bool Wait = false;
-    auto Pause = RetryAfter;
+    bool LongPoll = false;
+    auto Delay = MinRetryDelay;
     std::minstd_rand Random(std::random_device{}());
-    while (next(Kind, Wait)) {
-      if (call(Kind, Wait)) {
-        Pause = RetryAfter;
+    while (waitForWork(Kind, LongPoll)) {
+      if (call(Kind, LongPoll)) {
+        Delay = MinRetryDelay;
         continue;
       }
       std::unique_lock<std::mutex> Guard(Mutex_);
-      ReadNow_[Kind] = ReadNow_[Kind] || !Wait; // a failed read is repeated
-      std::uniform_real_distribution<double> Spread(0.5, 1);
-      Changed_.wait_for(Guard, Pause * Spread(Random),
-                        [&] { return Ending_ || RefreshId_ != Heeded_[Kind]; });
-      Heeded_[Kind] = RefreshId_;
-      Pause = std::min(Pause * 2, std::chrono::milliseconds(LongestPauseMs_));
+      ReadPending_[Kind] =
+          ReadPending_[Kind] || !LongPoll; // a failed read is repeated
+      std::uniform_real_distribution<double> Jitter(0.5, 1);
+      Changed_.wait_for(Guard, Delay * Jitter(Random), [&] {
+        return Stopping_ || RefreshId_ != HandledRefreshIds_[Kind];
+      });
+      HandledRefreshIds_[Kind] = RefreshId_;
+      Delay = std::min(Delay * 2, std::chrono::milliseconds(MaxRetryDelayMs_));
     }
   }
 
-  bool call(std::size_t Kind, bool Wait) {
+  bool call(std::size_t Kind, bool LongPoll) {
     ++Calls_;
     PlatformAnswer Answer;
     Answer.RefreshId_ = RefreshId_;
-    auto WaitMs = std::chrono::milliseconds(Wait ? WatchFor : 0s).count();
+    auto WaitMs =
+        std::chrono::milliseconds(LongPoll ? WatchTimeout : 0s).count();
     std::string Path = std::string(Paths[Kind]) +
-                       "?after=" + std::to_string(Known_[Kind]) +
+                       "?after=" + std::to_string(KnownVersions_[Kind]) +
                        "&wait_ms=" + std::to_string(WaitMs);
     auto Result = Clients_[Kind]->Get(Path.c_str());
     if (!Result || (Result->status != 200 && Result->status != 204))
@@ -123,34 +126,36 @@
       Answer.Text_ = Result->body;
     // The next call asks from the version that this answer brings, so it waits
     // until the answer has been taken in.
-    auto Taken = std::make_shared<std::promise<void>>();
-    asio::post(Context_, [this, Answer, Taken] {
+    auto Handled = std::make_shared<std::promise<void>>();
+    asio::post(Context_, [this, Answer, Handled] {
       OnAnswer_(Answer);
-      Taken->set_value();
+      Handled->set_value();
     });
-    Taken->get_future().wait_for(TakenWithin);
+    Handled->get_future().wait_for(HandlerTimeout);
     // A version that is refused stays unknown and so is sent again: then ask
     // no faster than after a failure.
-    bool Repeated = Result->status == 200 && Result->body == Last_[Kind];
+    bool Repeated = Result->status == 200 && Result->body == LastBodies_[Kind];
     if (Result->status == 200)
-      Last_[Kind] = std::move(Result->body);
-    return !Repeated || !Wait;
+      LastBodies_[Kind] = std::move(Result->body);
+    return !Repeated || !LongPoll;
   }
 
   asio::io_context &Context_;
   Handler OnAnswer_;
   std::array<std::unique_ptr<httplib::Client>, DocumentKindCount> Clients_;
-  std::array<std::string, DocumentKindCount> Last_; ///< Own thread's only.
-  std::array<std::atomic<Version>, DocumentKindCount> Known_{};
+  std::array<std::string, DocumentKindCount>
+      LastBodies_; ///< Own thread's only.
+  std::array<std::atomic<Version>, DocumentKindCount> KnownVersions_{};
   std::atomic<std::uint64_t> Calls_{0};
   std::atomic<std::uint64_t> RefreshId_{0};
-  std::atomic<std::int64_t> LongestPauseMs_{RetryAfter.count()};
-  std::array<std::uint64_t, DocumentKindCount> Heeded_{}; ///< Guarded.
+  std::atomic<std::int64_t> MaxRetryDelayMs_{MinRetryDelay.count()};
+  std::array<std::uint64_t, DocumentKindCount>
+      HandledRefreshIds_{}; ///< Guarded.
   std::mutex Mutex_;
   std::condition_variable Changed_;
-  std::array<bool, DocumentKindCount> ReadNow_{true, true};
+  std::array<bool, DocumentKindCount> ReadPending_{true, true};
   bool Watching_ = false;
-  bool Ending_ = false;
+  bool Stopping_ = false;
   std::array<std::thread, DocumentKindCount> Threads_; ///< Start last.
 };
 
@@ -164,8 +169,8 @@
 void PlatformClient::setWatching(bool Watching) {
   Impl_->setWatching(Watching);
 }
-void PlatformClient::setMaxRetryDelay(std::chrono::milliseconds Pause) {
-  Impl_->setMaxRetryDelay(Pause);
+void PlatformClient::setMaxRetryDelay(std::chrono::milliseconds Delay) {
+  Impl_->setMaxRetryDelay(Delay);
 }
 void PlatformClient::readNow(std::uint64_t RefreshId) {
   Impl_->readNow(RefreshId);
--- a/src/platform-client.h
+++ b/src/platform-client.h
@@ -34,7 +34,7 @@
   /// once at the start in any case.
   void setWatching(bool Watching);
   /// Bounds the exponential backoff after failed calls.
-  void setMaxRetryDelay(std::chrono::milliseconds Pause);
+  void setMaxRetryDelay(std::chrono::milliseconds Delay);
   /// Aborts calls in progress and reads every document once.
   void readNow(std::uint64_t RefreshId);
   /// Returns the number of calls made so far.
--- a/src/route.cc
+++ b/src/route.cc
@@ -18,63 +18,63 @@
 
 namespace {
 
-constexpr std::uint8_t Layout = 1;
+constexpr std::uint8_t LayoutVersion = 1;
 constexpr std::size_t TagSize = crypto_shorthash_siphash24_BYTES;
 constexpr std::size_t BodySize = 1 + 4 + 18 + 8 + 8 + 18 + 8 + 4;
 constexpr std::size_t RouteSize = BodySize + TagSize;
-constexpr std::size_t NameSize = 4 + 8;
+constexpr std::size_t IdsSize = 4 + 8;
 static_assert(RouteSize <= MaxRoute);
 static_assert(crypto_shorthash_siphash24_KEYBYTES == sizeof(SecretKey));
 
 /// Big-endian cursor over a fixed layout, for both directions.
 template <typename Byte> class Cursor {
 public:
-  explicit Cursor(Byte *At) : At_(At) {}
+  explicit Cursor(Byte *Position) : Position_(Position) {}
   template <typename T> void put(T Value) {
     for (std::size_t I = sizeof(T); I-- > 0;)
-      *At_++ = static_cast<std::uint8_t>(Value >> (8 * I));
+      *Position_++ = static_cast<std::uint8_t>(Value >> (8 * I));
   }
-  void put(const Endpoint &Where) {
-    std::memcpy(At_, Where.Ip_.data(), Where.Ip_.size());
-    At_ += Where.Ip_.size();
-    put(Where.Port_);
+  void put(const Endpoint &Value) {
+    std::memcpy(Position_, Value.Ip_.data(), Value.Ip_.size());
+    Position_ += Value.Ip_.size();
+    put(Value.Port_);
   }
   template <typename T> T get() {
     T Value = 0;
     for (std::size_t I = 0; I < sizeof(T); ++I)
-      Value = static_cast<T>((Value << 8) | *At_++);
+      Value = static_cast<T>((Value << 8) | *Position_++);
     return Value;
   }
   Endpoint getEndpoint() {
-    Endpoint Where;
-    std::memcpy(Where.Ip_.data(), At_, Where.Ip_.size());
-    At_ += Where.Ip_.size();
-    Where.Port_ = get<std::uint16_t>();
-    return Where;
+    Endpoint Value;
+    std::memcpy(Value.Ip_.data(), Position_, Value.Ip_.size());
+    Position_ += Value.Ip_.size();
+    Value.Port_ = get<std::uint16_t>();
+    return Value;
   }
 
 private:
-  Byte *At_;
+  Byte *Position_;
 };
 
 /// The tag covers the body, the service and the flow; the last two are known
 /// to every reader and so need not travel.
 void makeTag(const std::uint8_t *Body, ServiceId Service, FlowId Flow,
              const SecretKey &Secret, std::uint8_t *Tag) {
-  std::uint8_t Whole[BodySize + NameSize];
-  std::memcpy(Whole, Body, BodySize);
-  Cursor<std::uint8_t> Name(Whole + BodySize);
-  Name.put(raw(Service));
-  Name.put(raw(Flow));
-  crypto_shorthash_siphash24(Tag, Whole, sizeof Whole, Secret.data());
+  std::uint8_t Input[BodySize + IdsSize];
+  std::memcpy(Input, Body, BodySize);
+  Cursor<std::uint8_t> Ids(Input + BodySize);
+  Ids.put(raw(Service));
+  Ids.put(raw(Flow));
+  crypto_shorthash_siphash24(Tag, Input, sizeof Input, Secret.data());
 }
 
 } // namespace
 
 SignedRoute signRoute(const Route &R, const SecretKey &Secret) {
-  SignedRoute Sealed;
-  Cursor<std::uint8_t> C(Sealed.Bytes_.data());
-  C.put(Layout);
+  SignedRoute Signed;
+  Cursor<std::uint8_t> C(Signed.Bytes_.data());
+  C.put(LayoutVersion);
   C.put(raw(R.Upstream_));
   C.put(R.UpstreamAddress_);
   C.put(raw(R.UpstreamIncarnation_));
@@ -82,25 +82,26 @@
   C.put(R.HomeAddress_);
   C.put(raw(R.HomeIncarnation_));
   C.put(R.Epoch_);
-  makeTag(Sealed.Bytes_.data(), R.Service_, R.Flow_, Secret,
-          Sealed.Bytes_.data() + BodySize);
-  Sealed.Size_ = RouteSize;
-  return Sealed;
+  makeTag(Signed.Bytes_.data(), R.Service_, R.Flow_, Secret,
+          Signed.Bytes_.data() + BodySize);
+  Signed.Size_ = RouteSize;
+  return Signed;
 }
 
-ErrorKind verifyRoute(Bytes Sealed, const KeyPair &Keys, ServiceId Service,
+ErrorKind verifyRoute(Bytes Signed, const KeyPair &Keys, ServiceId Service,
                       FlowId Flow, Route &R) {
-  if (Sealed.Size_ != RouteSize || Sealed.Data_[0] != Layout)
+  if (Signed.Size_ != RouteSize || Signed.Data_[0] != LayoutVersion)
     return ErrorKind::ForgedRoute;
-  bool Known = false;
+  bool TagMatches = false;
   for (const SecretKey &Secret : Keys) {
     std::uint8_t Tag[TagSize];
-    makeTag(Sealed.Data_, Service, Flow, Secret, Tag);
-    Known = Known || sodium_memcmp(Tag, Sealed.Data_ + BodySize, TagSize) == 0;
+    makeTag(Signed.Data_, Service, Flow, Secret, Tag);
+    TagMatches =
+        TagMatches || sodium_memcmp(Tag, Signed.Data_ + BodySize, TagSize) == 0;
   }
-  if (!Known && detail::has(detail::Mechanism::RouteTag))
+  if (!TagMatches && detail::has(detail::Mechanism::RouteTag))
     return ErrorKind::ForgedRoute;
-  Cursor<const std::uint8_t> C(Sealed.Data_);
+  Cursor<const std::uint8_t> C(Signed.Data_);
   C.get<std::uint8_t>();
   R.Service_ = Service;
   R.Flow_ = Flow;
--- a/src/routing.cc
+++ b/src/routing.cc
@@ -10,12 +10,12 @@
 namespace {
 
 /// Keeps the draw of a service apart from other uses of the flow's hash.
-constexpr std::uint64_t ServiceDraw = 0x73657276;
+constexpr std::uint64_t ServiceSalt = 0x73657276;
 
 } // namespace
 
-std::size_t EndpointHash::operator()(const Endpoint &At) const {
-  return XXH64(At.Ip_.data(), At.Ip_.size(), At.Port_);
+std::size_t EndpointHash::operator()(const Endpoint &Address) const {
+  return XXH64(Address.Ip_.data(), Address.Ip_.size(), Address.Port_);
 }
 
 FlowId flowOf(const Packet &P) {
@@ -23,29 +23,30 @@
   return static_cast<FlowId>(hashPair(Hash(P.Caller_), Hash(P.Service_)));
 }
 
-const std::vector<ServiceShare> *RoutingTable::find(const Endpoint &At) const {
-  auto Known = Addresses_.find(At);
-  return Known == Addresses_.end() ? nullptr : &Known->second;
+const std::vector<ServiceShare> *
+RoutingTable::find(const Endpoint &Address) const {
+  auto It = Addresses_.find(Address);
+  return It == Addresses_.end() ? nullptr : &It->second;
 }
 
 bool RoutingTable::knowsService(ServiceId Id) const {
-  auto LeadsThere = [Id](const auto &Item) {
+  auto HasService = [Id](const auto &Item) {
     return std::any_of(
         Item.second.begin(), Item.second.end(),
         [Id](const ServiceShare &S) { return S.Service_ == Id; });
   };
   return ServiceNames_.count(raw(Id)) != 0 ||
-         std::any_of(Addresses_.begin(), Addresses_.end(), LeadsThere);
+         std::any_of(Addresses_.begin(), Addresses_.end(), HasService);
 }
 
 double RoutingTable::coldFlowsPerSecond(ServiceId Id) const {
-  auto Known = ColdFlowsPerSecond_.find(raw(Id));
-  return Known == ColdFlowsPerSecond_.end() ? 0 : Known->second;
+  auto It = ColdFlowsPerSecond_.find(raw(Id));
+  return It == ColdFlowsPerSecond_.end() ? 0 : It->second;
 }
 
 std::string RoutingTable::serviceName(ServiceId Id) const {
-  auto Known = ServiceNames_.find(raw(Id));
-  return Known == ServiceNames_.end() ? std::to_string(raw(Id)) : Known->second;
+  auto It = ServiceNames_.find(raw(Id));
+  return It == ServiceNames_.end() ? std::to_string(raw(Id)) : It->second;
 }
 
 ServiceId chooseService(const std::vector<ServiceShare> &Shares, FlowId Flow) {
@@ -54,11 +55,11 @@
   std::uint64_t Sum = 0;
   for (const ServiceShare &S : Shares)
     Sum += S.Weight_;
-  std::uint64_t Draw = hashPair(raw(Flow), ServiceDraw) % Sum;
+  std::uint64_t Remainder = hashPair(raw(Flow), ServiceSalt) % Sum;
   for (const ServiceShare &S : Shares) {
-    if (Draw < S.Weight_)
+    if (Remainder < S.Weight_)
       return S.Service_;
-    Draw -= S.Weight_;
+    Remainder -= S.Weight_;
   }
   return Shares.back().Service_;
 }
--- a/src/settings.cc
+++ b/src/settings.cc
@@ -25,11 +25,11 @@
 KeyPair readKeys(detail::ObjectReader &Reader, detail::ProblemList &Found) {
   KeyPair Result{};
   const detail::Json &Array = Reader.array("keys");
-  bool RightCount = Array.size() == 1 || Array.size() == 2;
-  if (!RightCount && Reader.has("keys"))
+  bool ValidCount = Array.size() == 1 || Array.size() == 2;
+  if (!ValidCount && Reader.has("keys"))
     Reader.addProblem("keys",
                       "must hold one key, or two while one is rotated out");
-  if (!RightCount)
+  if (!ValidCount)
     return Result;
   for (std::size_t I = 0; I < Array.size(); ++I)
     Result[I] = readKey(Array[I], "keys[" + std::to_string(I) + "]", Found);
@@ -76,9 +76,9 @@
     return boost::leaf::new_error(Found.all());
   detail::ObjectReader Reader(Root, "", Found);
   std::vector<std::string> Result;
-  for (const Endpoint &Where :
+  for (const Endpoint &Address :
        detail::readEndpoints(Reader, "balancers", true, Found))
-    Result.push_back(formatEndpoint(Where));
+    Result.push_back(formatEndpoint(Address));
   Reader.finish();
   if (!Found.empty())
     return boost::leaf::new_error(Found.all());
--- a/src/status-page.cc
+++ b/src/status-page.cc
@@ -7,27 +7,28 @@
 namespace {
 
 using Json = nlohmann::json;
-using Number = std::pair<std::string, std::uint64_t>;
+using NamedValue = std::pair<std::string, std::uint64_t>;
 
 /// Every counter with its name, once, for both renderings.
-std::vector<Number> numbers(const StatusReport &R) {
+std::vector<NamedValue> counterValues(const StatusReport &R) {
   const Counters &C = R.Counters_;
   static const char *const StepNames[] = {"route", "home", "passed", "refused"};
-  std::vector<Number> Result = {{"flows", R.Status_.Flows_},
-                                {"requests_in_progress", R.Status_.Requests_},
-                                {"passes_in_progress", R.Status_.Passes_},
-                                {"table_bytes", R.Status_.MemoryBytes_},
-                                {"opens", C.Opens_},
-                                {"opened", C.Opened_},
-                                {"requests", C.Requests_},
-                                {"answered", C.Answered_},
-                                {"refused_not_run", C.NotRun_},
-                                {"outcome_unknown", C.OutcomeUnknown_},
-                                {"open_retries", C.Retries_},
-                                {"rehomed", C.Rehomed_},
-                                {"moved", C.Moved_},
-                                {"adopted", C.Adopted_},
-                                {"late_wakes", C.LateWakes_}};
+  std::vector<NamedValue> Result = {
+      {"flows", R.Status_.Flows_},
+      {"requests_in_progress", R.Status_.Requests_},
+      {"passes_in_progress", R.Status_.Passes_},
+      {"table_bytes", R.Status_.MemoryBytes_},
+      {"opens", C.Opens_},
+      {"opened", C.Opened_},
+      {"requests", C.Requests_},
+      {"answered", C.Answered_},
+      {"refused_not_run", C.NotRun_},
+      {"outcome_unknown", C.OutcomeUnknown_},
+      {"open_retries", C.Retries_},
+      {"rehomed", C.Rehomed_},
+      {"moved", C.Moved_},
+      {"adopted", C.Adopted_},
+      {"late_wakes", C.LateWakes_}};
   for (std::size_t I = 0; I < C.Steps_.size(); ++I)
     Result.emplace_back(std::string("resolved_by_") + StepNames[I],
                         C.Steps_[I]);
@@ -40,7 +41,7 @@
   return Result;
 }
 
-std::string nameOf(const StatusReport &R, UpstreamId Id) {
+std::string upstreamName(const StatusReport &R, UpstreamId Id) {
   if (R.Declaration_)
     for (const Upstream &U : R.Declaration_->Upstreams_)
       if (U.Id_ == Id)
@@ -53,7 +54,7 @@
 std::string statusJson(const StatusReport &R) {
   Json Upstreams = Json::array();
   for (const UpstreamRow &U : R.Status_.Upstreams_)
-    Upstreams.push_back({{"name", nameOf(R, U.Id_)},
+    Upstreams.push_back({{"name", upstreamName(R, U.Id_)},
                          {"address", formatEndpoint(U.At_)},
                          {"own_flows", U.OwnFlows_},
                          {"in_flight", U.InFlight_},
@@ -62,22 +63,22 @@
                          {"leaving", U.Leaving_},
                          {"ejected", U.EjectedUntil_ > R.Status_.Now_},
                          {"failures", U.Failures_}});
-  Json Numbers = Json::object();
-  for (const Number &N : numbers(R))
-    Numbers[N.first] = N.second;
+  Json Values = Json::object();
+  for (const NamedValue &N : counterValues(R))
+    Values[N.first] = N.second;
   Json Page = {{"name", R.Name_},
                {"version", R.Status_.InForce_},
                {"digest", R.Status_.Digest_},
                {"ready", R.Status_.Ready_},
                {"stopping", R.Status_.Stopping_},
-               {"counters", std::move(Numbers)},
+               {"counters", std::move(Values)},
                {"upstreams", std::move(Upstreams)}};
   return Page.dump();
 }
 
 std::string metricsText(const StatusReport &R) {
   std::string Text;
-  for (const Number &N : numbers(R))
+  for (const NamedValue &N : counterValues(R))
     Text += metricLine(N.first, static_cast<std::int64_t>(N.second));
   Text += metricLine("version", static_cast<std::int64_t>(R.Status_.InForce_));
   return Text + R.Delays_->prometheus("thymewall_delay_seconds");
--- a/src/zone.cc
+++ b/src/zone.cc
@@ -8,9 +8,9 @@
   return
       [](const std::string &Zone, WallTime When) -> std::optional<LocalMinute> {
         try {
-          const date::time_zone *Known = date::locate_zone(Zone);
-          date::sys_time<Micros> Universal{When.time_since_epoch()};
-          auto Local = Known->to_local(Universal);
+          const date::time_zone *TimeZone = date::locate_zone(Zone);
+          date::sys_time<Micros> Utc{When.time_since_epoch()};
+          auto Local = TimeZone->to_local(Utc);
           auto Day = date::floor<date::days>(Local);
           auto Minute = date::floor<std::chrono::minutes>(Local - Day);
           LocalMinute Result;
