--- a/src/balancer-main.cc
+++ b/src/balancer-main.cc
@@ -1,4 +1,4 @@
-// thymewall-balancer: one on each entry host.
+// thymewall-balancer: the request balancer, one process per entry host.
 #include "balancer-process.h"
 #include "program.h"
 #include "thymewall/log.h"
--- a/src/balancer-process.cc
+++ b/src/balancer-process.cc
@@ -22,11 +22,10 @@
 
 namespace {
 
-/// News that no `RereadSources` asked for: enough for a process that has just
-/// started, not for one that has woken late.
+/// For documents that answer no `RereadSources`; not enough after a late wake.
 constexpr std::uint64_t NoRefresh = 0;
-/// Keeps the calls of a whole fleet that finds the platform down under 1,000 a
-/// second, at two documents a host.
+/// While the platform is down, a whole fleet makes about 1,000 calls per second
+/// (two documents per host, before jitter).
 constexpr std::chrono::milliseconds MaxRetryDelayPerHost(2);
 constexpr auto WatchReviewInterval = std::chrono::seconds(1);
 
@@ -71,13 +70,12 @@
   using DatagramHandler = void (Impl::*)(const Endpoint &, const std::uint8_t *,
                                          std::size_t);
   UdpSocket::Receiver receiver(DatagramHandler Function);
-  void onUpstreamDatagram(const Endpoint &From, const std::uint8_t *Data,
-                          std::size_t Size);
-  void onPeerDatagram(const Endpoint &From, const std::uint8_t *Data,
-                      std::size_t Size);
-  void onCallerDatagram(ServiceId Service, const Endpoint &From,
-                        const std::uint8_t *Data, std::size_t Size);
-  /// Counts what a decoder refused.
+  void onUpstream(const Endpoint &From, const std::uint8_t *Data,
+                  std::size_t Size);
+  void onPeer(const Endpoint &From, const std::uint8_t *Data, std::size_t Size);
+  void onCaller(ServiceId Service, const Endpoint &From,
+                const std::uint8_t *Data, std::size_t Size);
+  /// Counts a decoding error; returns true if there was none.
   bool checkDecoded(ErrorKind Decoded) {
     if (Decoded != ErrorKind::None)
       ++DecodeErrors_[static_cast<std::size_t>(Decoded)];
@@ -85,7 +83,6 @@
   }
   void dispatch(const Event &What) { Core_.handle(now(), What, Sink_); }
 
-  // Actions of the core, one overload each.
   void execute(const ToCaller &A);
   void execute(const ToUpstream &A);
   void execute(const ToPeer &A);
@@ -122,9 +119,9 @@
   asio::signal_set Signals_;
   DeclarationPtr Declaration_;
   HostListPtr Hosts_;
-  /// Datagrams that never reached the core, by kind.
+  /// Datagrams that could not be decoded, by error kind.
   decltype(Counters::Errors_) DecodeErrors_{};
-  std::uint64_t LastRefreshId_ = 0; ///< By the last `RereadSources`.
+  std::uint64_t LastRefreshId_ = 0; ///< Of the last `RereadSources`.
   HttpServer Status_;
 };
 
@@ -139,9 +136,8 @@
                          [this](ServiceId S, RequestClass C, Micros Delay) {
                            Delays_.record(serviceName(S), className(C), Delay);
                          })),
-      Upstream_(Context, Settings_.Upstream_,
-                receiver(&Impl::onUpstreamDatagram)),
-      Peers_(Context, Settings_.Data_, receiver(&Impl::onPeerDatagram)),
+      Upstream_(Context, Settings_.Upstream_, receiver(&Impl::onUpstream)),
+      Peers_(Context, Settings_.Data_, receiver(&Impl::onPeer)),
       Control_(Context, Settings_, Self_, controlHooks()),
       Platform_(Context, Settings_.Platform_,
                 [this](const PlatformAnswer &A) { onPlatformAnswer(A); }),
@@ -172,26 +168,24 @@
   };
 }
 
-void BalancerProcess::Impl::onUpstreamDatagram(const Endpoint &From,
-                                               const std::uint8_t *Data,
-                                               std::size_t Size) {
+void BalancerProcess::Impl::onUpstream(const Endpoint &From,
+                                       const std::uint8_t *Data,
+                                       std::size_t Size) {
   FromUpstream E{From, {}};
   if (checkDecoded(decode(Data, Size, E.Message_)))
     dispatch(E);
 }
 
-void BalancerProcess::Impl::onPeerDatagram(const Endpoint &From,
-                                           const std::uint8_t *Data,
-                                           std::size_t Size) {
+void BalancerProcess::Impl::onPeer(const Endpoint &From,
+                                   const std::uint8_t *Data, std::size_t Size) {
   FromPeer E{From, {}};
   if (checkDecoded(decodePeer(Data, Size, Settings_.Keys_, E.Datagram_)))
     dispatch(E);
 }
 
-void BalancerProcess::Impl::onCallerDatagram(ServiceId Service,
-                                             const Endpoint &From,
-                                             const std::uint8_t *Data,
-                                             std::size_t Size) {
+void BalancerProcess::Impl::onCaller(ServiceId Service, const Endpoint &From,
+                                     const std::uint8_t *Data,
+                                     std::size_t Size) {
   FromCaller E{From, {}, Size};
   if (!checkDecoded(decode(Data, Size, E.Message_)))
     return;
@@ -236,9 +230,7 @@
       Services_[Id] = std::make_unique<UdpSocket>(
           Context_, Local,
           [this, Id](const Endpoint &From, const std::uint8_t *Data,
-                     std::size_t Size) {
-            onCallerDatagram(Id, From, Data, Size);
-          });
+                     std::size_t Size) { onCaller(Id, From, Data, Size); });
     } catch (const std::system_error &Error) {
       logState("service_socket_failed",
                {{"service", S.Name_}, {"reason", Error.what()}});
@@ -333,7 +325,7 @@
                       M.Incarnation_, M.Leaving_});
   };
   Hooks.OnDocument_ = [this](DocumentKind Kind, const std::string &Text) {
-    // A peer's document is taken as fresh once the peers are asked again.
+    // The document counts as current once a peer confirms it.
     onDocument(Kind, Text, "peer", NoRefresh);
     if (!Core_.status().Ready_)
       Control_.requestHeartbeats(LastRefreshId_);
@@ -356,8 +348,8 @@
   });
 }
 
-/// A few balancers of each data hall watch the platform; the others hear of
-/// changes from their peers.
+/// Watches the platform if this balancer is one of the few of its data hall
+/// that do; the others get changes from their peers.
 void BalancerProcess::Impl::updateWatching() {
   bool Watching =
       !Hosts_ ||
--- a/src/control-plane.cc
+++ b/src/control-plane.cc
@@ -15,14 +15,14 @@
 using SteadyTime = std::chrono::steady_clock::time_point;
 
 constexpr auto HeartbeatInterval = 1s;
-/// News of a watcher crosses a data hall in a few heartbeats.
+/// Leaves a watcher's age several heartbeats to reach its whole data hall.
 constexpr auto WatcherStaleAfter = 20s;
 constexpr std::size_t MaxSuccessions = 256;
 
-/// One open connection, from either side.
+/// An open connection, opened by either side.
 struct Link {
-  std::string Target_; ///< Control address; empty when the peer opened it.
-  std::string Peer_;   ///< Name, once a heartbeat came.
+  std::string Target_; ///< Control address; empty if the peer opened the link.
+  std::string Peer_;   ///< Name; empty until the first heartbeat.
 };
 
 struct Document {
@@ -76,7 +76,7 @@
   std::array<Document, DocumentKindCount> Documents_;
   std::map<LinkId, Link> Links_;
   std::set<std::string> Connecting_;
-  std::vector<Host> ChosenPeers_;                     ///< To link to.
+  std::vector<Host> ChosenPeers_;
   std::map<std::string, std::string> HallByName_;     ///< By balancer name.
   std::map<BalancerId, SteadyTime> PlatformAnswerAt_; ///< In our data hall.
   std::vector<Succession> Successions_;
@@ -164,7 +164,7 @@
   for (const Succession &S : Successions_)
     if (S.Home_ == M.Succession_.Home_)
       return;
-  broadcast(M.Succession_); // each balancer passes it on once
+  broadcast(M.Succession_); // each balancer forwards it once
   Hooks_.OnSuccession_(M.Succession_);
 }
 
@@ -247,7 +247,8 @@
   Peers_.connect(Target);
 }
 
-/// Of two links between two balancers, the one that the later name opened goes.
+/// Closes this balancer's link to a peer if there is another one and the peer's
+/// name sorts first. The peer keeps its link, so that one of the two remains.
 void ControlPlane::Impl::closeDuplicateLink(LinkId Id,
                                             const std::string &Peer) {
   auto It = Links_.find(Id);
--- a/src/control.cc
+++ b/src/control.cc
@@ -58,8 +58,8 @@
           M.Succession_.Fence_.time_since_epoch().count(), Successors};
 }
 
-/// Thrown inside this file only, for fields out of range; the library throws
-/// its own type for wrong shapes.
+/// Thrown for fields out of range. The JSON library throws its own exceptions
+/// for wrong types.
 struct OutOfRange : std::exception {};
 
 void require(bool Condition) {
@@ -133,7 +133,7 @@
       Tag, reinterpret_cast<const unsigned char *>(Data), Size, Secret.data());
 }
 
-/// Balancers that stay, by falling rendezvous score for \p Self.
+/// Returns the balancers that are not leaving, by descending rendezvous score.
 std::vector<Host> rankBalancers(const HostList &Hosts, std::uint64_t Salt) {
   std::vector<Host> Result;
   for (const Host &H : Hosts.Hosts_)
--- a/src/declaration-serving.cc
+++ b/src/declaration-serving.cc
@@ -77,7 +77,7 @@
 
 using SelectedUpstreams = std::vector<std::vector<std::size_t>>;
 
-/// For each service, the indexes of its upstreams under the active selectors.
+/// Returns the indexes of each service's upstreams under the active selectors.
 SelectedUpstreams selectAll(const Declaration &D,
                             const std::vector<bool> &Active) {
   SelectedUpstreams Result(D.Services_.size());
@@ -94,7 +94,8 @@
   return Result;
 }
 
-/// A name that nothing stands in is a mistake in writing.
+/// Reports evacuated data halls that have no upstream or balancer; most likely
+/// their names are misspelled.
 void checkEvacuated(const Declaration &D, ProblemList &Found) {
   std::set<std::string> DataHalls;
   for (const Upstream &U : D.Upstreams_)
--- a/src/declaration.cc
+++ b/src/declaration.cc
@@ -19,7 +19,7 @@
 const char *const DayNames[] = {"sun", "mon", "tue", "wed",
                                 "thu", "fri", "sat"};
 
-/// Reads one document into a declaration; one function a part.
+/// Reads and validates one document.
 class Parser {
 public:
   Parser(const std::string &File, const TimeZoneClock &Clock)
@@ -171,8 +171,8 @@
     Reader.addProblem("service", "\"" + Name + "\" is not a declared service");
   S.Service_ = static_cast<std::size_t>(It - Result_.Services_.begin());
   forEachItem(Reader.array("terms"), (Path + ".terms").c_str(),
-              [&](const Json &Item, const std::string &It) {
-                S.Terms_.push_back(readTerm(Item, It));
+              [&](const Json &Item, const std::string &TermPath) {
+                S.Terms_.push_back(readTerm(Item, TermPath));
               });
   if (S.Terms_.empty() && Reader.has("terms"))
     Reader.addProblem("terms", "must have at least one term");
--- a/src/platform-client.cc
+++ b/src/platform-client.cc
@@ -78,7 +78,7 @@
   std::uint64_t calls() const { return Calls_; }
 
 private:
-  /// Takes the next piece of work; false at the end.
+  /// Blocks until a call is due. Returns false when the client stops.
   bool waitForWork(std::size_t Kind, bool &LongPoll) {
     std::unique_lock<std::mutex> Guard(Mutex_);
     Changed_.wait(Guard,
@@ -124,16 +124,15 @@
     Answer.Kind_ = static_cast<DocumentKind>(Kind);
     if (Result->status == 200)
       Answer.Text_ = Result->body;
-    // The next call asks from the version that this answer brings, so it waits
-    // until the answer has been taken in.
+    // The handler sets the known version, which the next call sends.
     auto Handled = std::make_shared<std::promise<void>>();
     asio::post(Context_, [this, Answer, Handled] {
       OnAnswer_(Answer);
       Handled->set_value();
     });
     Handled->get_future().wait_for(HandlerTimeout);
-    // A version that is refused stays unknown and so is sent again: then ask
-    // no faster than after a failure.
+    // The platform repeats a document that the handler rejected; a long poll
+    // then returns at once, so it counts as a failure to delay the next call.
     bool Repeated = Result->status == 200 && Result->body == LastBodies_[Kind];
     if (Result->status == 200)
       LastBodies_[Kind] = std::move(Result->body);
@@ -144,19 +143,20 @@
   Handler OnAnswer_;
   std::array<std::unique_ptr<httplib::Client>, DocumentKindCount> Clients_;
   std::array<std::string, DocumentKindCount>
-      LastBodies_; ///< Own thread's only.
+      LastBodies_; ///< Each used by its own thread only.
   std::array<std::atomic<Version>, DocumentKindCount> KnownVersions_{};
   std::atomic<std::uint64_t> Calls_{0};
   std::atomic<std::uint64_t> RefreshId_{0};
   std::atomic<std::int64_t> MaxRetryDelayMs_{MinRetryDelay.count()};
-  std::array<std::uint64_t, DocumentKindCount>
-      HandledRefreshIds_{}; ///< Guarded.
+  std::array<std::uint64_t, DocumentKindCount> HandledRefreshIds_{};
+  /// Guards `HandledRefreshIds_`, `ReadPending_`, `Watching_` and `Stopping_`.
   std::mutex Mutex_;
   std::condition_variable Changed_;
   std::array<bool, DocumentKindCount> ReadPending_{true, true};
   bool Watching_ = false;
   bool Stopping_ = false;
-  std::array<std::thread, DocumentKindCount> Threads_; ///< Start last.
+  std::array<std::thread, DocumentKindCount>
+      Threads_; ///< Last, as the threads use the other members.
 };
 
 PlatformClient::PlatformClient(asio::io_context &Context,
--- a/src/route.cc
+++ b/src/route.cc
@@ -26,7 +26,7 @@
 static_assert(RouteSize <= MaxRoute);
 static_assert(crypto_shorthash_siphash24_KEYBYTES == sizeof(SecretKey));
 
-/// Big-endian cursor over a fixed layout, for both directions.
+/// Reads or writes big-endian fields in sequence.
 template <typename Byte> class Cursor {
 public:
   explicit Cursor(Byte *Position) : Position_(Position) {}
@@ -57,8 +57,8 @@
   Byte *Position_;
 };
 
-/// The tag covers the body, the service and the flow; the last two are known
-/// to every reader and so need not travel.
+/// Computes the tag over the body, the service and the flow. The service and
+/// the flow are not part of the route; every reader knows them.
 void makeTag(const std::uint8_t *Body, ServiceId Service, FlowId Flow,
              const SecretKey &Secret, std::uint8_t *Tag) {
   std::uint8_t Input[BodySize + IdsSize];
--- a/src/routing.cc
+++ b/src/routing.cc
@@ -9,7 +9,7 @@
 
 namespace {
 
-/// Keeps the draw of a service apart from other uses of the flow's hash.
+/// Makes the choice of a service independent of other uses of the flow's hash.
 constexpr std::uint64_t ServiceSalt = 0x73657276;
 
 } // namespace
--- a/src/settings.cc
+++ b/src/settings.cc
@@ -21,7 +21,7 @@
   return Result;
 }
 
-/// One key, or two while the second is being rotated out.
+/// Reads one key, or two while the second is being rotated out.
 KeyPair readKeys(detail::ObjectReader &Reader, detail::ProblemList &Found) {
   KeyPair Result{};
   const detail::Json &Array = Reader.array("keys");
--- a/src/status-page.cc
+++ b/src/status-page.cc
@@ -9,7 +9,7 @@
 using Json = nlohmann::json;
 using NamedValue = std::pair<std::string, std::uint64_t>;
 
-/// Every counter with its name, once, for both renderings.
+/// Returns all counters by name, for both the JSON and the metrics page.
 std::vector<NamedValue> counterValues(const StatusReport &R) {
   const Counters &C = R.Counters_;
   static const char *const StepNames[] = {"route", "home", "passed", "refused"};
