--- a/src/balancer-main.cc
+++ b/src/balancer-main.cc
@@ -9,12 +9,12 @@
 int main(int Count, char **Values) {
   return runProgram([&] {
     cxxopts::Options Options("thymewall-balancer",
-                             "Balances flows among labelled upstreams.");
-    Options.add_options()("config", "settings in JSON",
+                             "Layer-4 load balancer for request flows.");
+    Options.add_options()("config", "path of the settings file (JSON)",
                           cxxopts::value<std::string>());
     auto Arguments = parseArguments(Options, Count, Values);
     if (Arguments.count("config") == 0)
-      throw std::runtime_error("--config FILE is needed");
+      throw std::runtime_error("--config FILE is required");
     Settings Configured =
         loadConfig(Arguments["config"].as<std::string>(), parseSettings);
     startLog(Configured.Name_);
--- a/src/declaration.cc
+++ b/src/declaration.cc
@@ -57,7 +57,7 @@
 
 DeclarationPtr Parser::parse(std::string Text) {
   if (Text.size() > MaxDocumentBytes) {
-    Found_.add("(document)", "is larger than 1 MB");
+    Found_.add("(document)", "is larger than 1 MiB");
     return nullptr;
   }
   Json Root = detail::parseJson(Text, Found_);
@@ -93,8 +93,8 @@
     Found_.add(Path + ".name",
                It->second == Name
                    ? "\"" + Name + "\" is declared twice"
-                   : "\"" + Name + "\" has the identifier of \"" + It->second +
-                         "\"; choose another name");
+                   : "\"" + Name + "\" has the same identifier as \"" +
+                         It->second + "\"; choose another name");
 }
 
 void Parser::readService(const Json &Object, const std::string &Path) {
@@ -105,7 +105,7 @@
   claimName("services", S.Name_, Path);
   S.Port_ = static_cast<std::uint16_t>(Reader.integer("port", 1, 65535));
   if (!Ports_.insert(S.Port_).second)
-    Reader.addProblem("port", "is the port of another service");
+    Reader.addProblem("port", "is already used by another service");
   S.DefaultTimeout_ = std::chrono::milliseconds(
       Reader.integerOr("deadline_ms", 2000, 1, MaxDeadlineMs));
   S.MaxInFlightPerSlot_ = static_cast<std::uint32_t>(
@@ -141,7 +141,7 @@
   claimName("upstreams", U.Name_, Path);
   U.Address_ = Reader.endpoint("address");
   if (!U.Address_.empty() && !Addresses_.insert(U.At_).second)
-    Reader.addProblem("address", "is the address of another upstream");
+    Reader.addProblem("address", "is already used by another upstream");
   U.DataHall_ = Reader.string("data_hall");
   U.Slots_ = static_cast<std::uint32_t>(Reader.integerOr("slots", 1, 1, 10000));
   U.RemembersRequests_ = Reader.booleanOr("remembers_requests", false);
@@ -189,7 +189,7 @@
         if (!Value.is_string() || Value.get<std::string>().empty())
           return Found_.add(Path, "must be the name of a data hall");
         if (!Result_.EvacuatedHalls_.insert(Value.get<std::string>()).second)
-          Found_.add(Path, "names a data hall twice");
+          Found_.add(Path, "repeats a data hall");
       });
 }
 
@@ -212,14 +212,14 @@
     if (Value.is_string())
       T.Values_.push_back(Value.get<std::string>());
     else
-      Reader.addProblem("values", "must hold strings only");
+      Reader.addProblem("values", "must contain only strings");
   }
   bool NeedsValues =
       T.Operator_ == Term::Operator::In || T.Operator_ == Term::Operator::NotIn;
   if (NeedsValues && T.Values_.empty())
     Reader.addProblem("values", "must have at least one value for this op");
   if (!NeedsValues && !T.Values_.empty())
-    Reader.addProblem("values", "has no meaning for this op");
+    Reader.addProblem("values", "must be empty for this op");
   Reader.finish();
   return T;
 }
@@ -250,7 +250,7 @@
     auto It = std::find(std::begin(DayNames), std::end(DayNames),
                         Value.is_string() ? Value.get<std::string>() : "");
     if (It == std::end(DayNames))
-      Reader.addProblem("days", "must hold days such as \"mon\"");
+      Reader.addProblem("days", "must contain days such as \"mon\"");
     else
       W.Days_ |= static_cast<std::uint8_t>(1 << (It - DayNames));
   }
--- a/src/json-reader.cc
+++ b/src/json-reader.cc
@@ -7,7 +7,7 @@
 const Json EmptyArray = Json::array();
 
 std::string rangeText(std::int64_t Min, std::int64_t Max) {
-  return "must be a whole number from " + std::to_string(Min) + " to " +
+  return "must be an integer from " + std::to_string(Min) + " to " +
          std::to_string(Max);
 }
 
@@ -17,8 +17,8 @@
   try {
     return Json::parse(Text);
   } catch (const Json::parse_error &Error) {
-    Found.add("(document)",
-              "is not JSON at byte " + std::to_string(Error.byte));
+    Found.add("(document)", "is not valid JSON: syntax error at byte " +
+                                std::to_string(Error.byte));
     return nullptr;
   }
 }
@@ -53,7 +53,7 @@
       Value && Value->is_string() && !Value->get<std::string>().empty();
   if (Valid)
     return Value->get<std::string>();
-  addProblem(Key, Value ? "must be a string that is not empty" : "is missing");
+  addProblem(Key, Value ? "must be a non-empty string" : "is missing");
   return {};
 }
 
@@ -116,7 +116,7 @@
     return {};
   Endpoint Result = parseEndpoint(Text);
   if (Result.empty())
-    addProblem(Key, "must be an IP number and port, such as 192.0.2.1:7000");
+    addProblem(Key, "must be an IP address and port, such as 192.0.2.1:7000");
   return Result;
 }
 
@@ -150,7 +150,7 @@
         std::string(Key) + "[" + std::to_string(Result.size()) + "]";
     Result.push_back(parseEndpoint(Value));
     if (Result.back().empty())
-      Found.add(Path, "must be an IP number and port");
+      Found.add(Path, "must be an IP address and port");
   }
   return Result;
 }
--- a/src/settings.cc
+++ b/src/settings.cc
@@ -27,8 +27,7 @@
   const detail::Json &Array = Reader.array("keys");
   bool ValidCount = Array.size() == 1 || Array.size() == 2;
   if (!ValidCount && Reader.has("keys"))
-    Reader.addProblem("keys",
-                      "must hold one key, or two while one is rotated out");
+    Reader.addProblem("keys", "must contain one key, or two during a rotation");
   if (!ValidCount)
     return Result;
   for (std::size_t I = 0; I < Array.size(); ++I)
--- a/test/control-test.cc
+++ b/test/control-test.cc
@@ -12,7 +12,7 @@
 
 std::array<SecretKey, 2> keys() { return {secret(), secret()}; }
 
-/// Balancers lb-0.. spread over some data halls.
+/// Returns balancers lb-0, lb-1, ... in \p Halls data halls.
 HostList fleet(std::size_t Count, std::size_t Halls) {
   HostList L;
   for (std::size_t I = 0; I < Count; ++I) {
@@ -33,7 +33,7 @@
 
 } // namespace
 
-TEST_CASE("control messages survive the codec") {
+TEST_CASE("control messages are decoded as they were encoded") {
   Heartbeat H;
   H.Name_ = "lb-1";
   H.Data_ = parseEndpoint("127.0.0.1:7100");
@@ -63,40 +63,40 @@
   CHECK(roundTrip(SuccessionMessage{S}).Succession_ == S);
 }
 
-TEST_CASE("damaged control messages are refused and crash nothing") {
-  CHECK(rc::check("random bytes behind a right tag", [] {
+TEST_CASE("corrupt control messages are rejected") {
+  CHECK(rc::check("random bytes, and one bit flipped in a valid message", [] {
     ControlMessage M;
     auto Text = *rc::gen::arbitrary<std::string>();
     decodeControl(Text, keys(), M);
-    std::string Good = encodeControl(DocumentMessage{{}, Text}, secret());
-    auto At = *rc::gen::inRange<std::size_t>(0, Good.size());
-    Good[At] = static_cast<char>(Good[At] ^ 1);
-    RC_ASSERT(decodeControl(Good, keys(), M) == ErrorKind::BadTag);
+    std::string Encoded = encodeControl(DocumentMessage{{}, Text}, secret());
+    auto At = *rc::gen::inRange<std::size_t>(0, Encoded.size());
+    Encoded[At] = static_cast<char>(Encoded[At] ^ 1);
+    RC_ASSERT(decodeControl(Encoded, keys(), M) == ErrorKind::BadTag);
   }));
   ControlMessage M;
   CHECK(decodeControl("short", keys(), M) == ErrorKind::Malformed);
 }
 
-TEST_CASE("every balancer has peers near and far, never more than the limit") {
+TEST_CASE("a balancer has eight peers, half of them in its own data hall") {
   HostList L = fleet(120, 6);
   for (const Host &H : L.Hosts_) {
-    std::size_t Near = 0;
+    std::size_t SameHall = 0;
     std::vector<Host> Peers = choosePeers(L, H.Name_, H.DataHall_, 8);
     CHECK(Peers.size() == 8U);
     for (const Host &P : Peers) {
       CHECK(P.Name_ != H.Name_);
-      Near += P.DataHall_ == H.DataHall_;
+      SameHall += P.DataHall_ == H.DataHall_;
     }
-    CHECK(Near == 4U);
+    CHECK(SameHall == 4U);
   }
 }
 
-TEST_CASE("a few balancers of each data hall watch, and others step in") {
+TEST_CASE("a stale platform watcher is replaced in its data hall") {
   HostList L = fleet(120, 6);
-  auto Watchers = [&](const std::vector<std::string> &Silent) {
+  auto Watchers = [&](const std::vector<std::string> &Stale) {
     std::set<std::string> Names;
     for (const Host &H : L.Hosts_)
-      if (watchesPlatform(L, H.Name_, H.DataHall_, 2, Silent))
+      if (watchesPlatform(L, H.Name_, H.DataHall_, 2, Stale))
         Names.insert(H.Name_);
     return Names;
   };
@@ -104,11 +104,11 @@
   CHECK(First.size() == 12U);
   std::string Gone = *First.begin();
   std::set<std::string> Second = Watchers({Gone});
-  CHECK(Second.size() == 13U); // its replacement, and itself if it lives
+  CHECK(Second.size() == 13U); // includes the stale watcher itself
   CHECK(watchesPlatform(L, "new", "hall-1", 2, {}));
 }
 
-TEST_CASE("news reaches every balancer over peer links in a few steps") {
+TEST_CASE("a message reaches every balancer over at most six peer links") {
   HostList L = fleet(600, 15);
   std::map<std::string, std::set<std::string>> Links;
   for (const Host &H : L.Hosts_)
@@ -117,13 +117,13 @@
       Links[P.Name_].insert(H.Name_);
     }
   std::set<std::string> Reached = {"lb-0"};
-  std::size_t Steps = 0;
-  for (; Reached.size() < L.Hosts_.size() && Steps < 20; ++Steps) {
+  std::size_t Hops = 0;
+  for (; Reached.size() < L.Hosts_.size() && Hops < 20; ++Hops) {
     std::set<std::string> Next = Reached;
     for (const std::string &Name : Reached)
       Next.insert(Links[Name].begin(), Links[Name].end());
     Reached = Next;
   }
   CHECK(Reached.size() == L.Hosts_.size());
-  CHECK(Steps <= 6U);
+  CHECK(Hops <= 6U);
 }
--- a/test/declaration-test.cc
+++ b/test/declaration-test.cc
@@ -13,7 +13,7 @@
 
 namespace {
 
-const std::string Good = R"({
+const std::string Valid = R"({
  "version": 3,
  "services": [{"name": "index", "port": 7001}, {"name": "archive", "port": 7002}],
  "upstreams": [
@@ -23,7 +23,7 @@
   {"service": "index", "terms": [{"key": "role", "op": "in", "values": ["index"]}]},
   {"service": "archive", "terms": [{"key": "role", "op": "in", "values": ["archive"]}]}]})";
 
-Problems faultsOf(const std::string &Text) {
+Problems problemsOf(const std::string &Text) {
   return boost::leaf::try_handle_all(
       [&]() -> boost::leaf::result<Problems> {
         BOOST_LEAF_CHECK(parseDeclaration(Text, "doc.json", timeZoneClock()));
@@ -41,9 +41,9 @@
       [] { return DeclarationPtr(); });
 }
 
-/// The good document with one place changed.
+/// Returns the valid document with one value replaced.
 std::string with(const char *Pointer, const Json &Value) {
-  Json Root = Json::parse(Good);
+  Json Root = Json::parse(Valid);
   Root[Json::json_pointer(Pointer)] = Value;
   return Root.dump();
 }
@@ -61,8 +61,8 @@
 
 } // namespace
 
-TEST_CASE("a good document is read") {
-  DeclarationPtr D = parse(Good);
+TEST_CASE("a valid document is parsed") {
+  DeclarationPtr D = parse(Valid);
   REQUIRE(D);
   CHECK(D->Version_ == 3U);
   CHECK(D->Services_.size() == 2U);
@@ -70,13 +70,13 @@
   CHECK(formatEndpoint(D->Upstreams_[1].Address_) == "10.0.0.2:9000");
 }
 
-TEST_CASE("each bad document is refused with its key named") {
-  struct Bad {
+TEST_CASE("each invalid value is reported with its key") {
+  struct InvalidCase {
     const char *Pointer_;
     Json Value_;
     const char *Key_;
   };
-  const std::vector<Bad> All = {
+  const std::vector<InvalidCase> All = {
       {"/version", 0, "version"},
       {"/version", "3", "version"},
       {"/version", 1.5, "version"},
@@ -116,37 +116,37 @@
         {"zone", "Europe/London"}},
        "selectors[0].window.days"},
   };
-  for (const Bad &B : All) {
-    Problems Found = faultsOf(with(B.Pointer_, B.Value_));
+  for (const InvalidCase &B : All) {
+    Problems Found = problemsOf(with(B.Pointer_, B.Value_));
     CAPTURE(B.Key_);
     REQUIRE(!Found.empty());
-    bool Named = false;
+    bool Reported = false;
     for (const Problem &P : Found)
-      Named = Named ||
-              (P.Key_ == B.Key_ && P.File_ == "doc.json" && !P.Reason_.empty());
-    CHECK(Named);
+      Reported = Reported || (P.Key_ == B.Key_ && P.File_ == "doc.json" &&
+                              !P.Reason_.empty());
+    CHECK(Reported);
   }
-  CHECK(faultsOf("{").front().Key_ == "(document)");
-  CHECK(faultsOf(std::string(MaxDocumentBytes + 1, ' ')).front().Key_ ==
+  CHECK(problemsOf("{").front().Key_ == "(document)");
+  CHECK(problemsOf(std::string(MaxDocumentBytes + 1, ' ')).front().Key_ ==
         "(document)");
 }
 
-TEST_CASE("all faults are told at once") {
-  Json Root = Json::parse(Good);
+TEST_CASE("all problems of a document are reported together") {
+  Json Root = Json::parse(Valid);
   Root["version"] = 0;
   Root["services"][0]["port"] = 0;
   Root["extra"] = 1;
-  CHECK(faultsOf(Root.dump()).size() == 3U);
+  CHECK(problemsOf(Root.dump()).size() == 3U);
 }
 
-TEST_CASE("two documents of one version settle alike, whatever the order") {
-  DeclarationPtr A = parse(Good);
+TEST_CASE("documents of one version are ordered by their digest") {
+  DeclarationPtr A = parse(Valid);
   DeclarationPtr B = parse(with("/services/0/port", 7009));
   CHECK(supersedes(*A, *B) != supersedes(*B, *A));
   CHECK(!supersedes(*A, *A));
 }
 
-TEST_CASE("terms match labels") {
+TEST_CASE("selector terms match labels") {
   Labels L = {{"role", "index"}};
   CHECK(matches({"role", Term::Operator::In, {"x", "index"}}, L));
   CHECK(!matches({"role", Term::Operator::NotIn, {"index"}}, L));
@@ -166,7 +166,7 @@
   CHECK(!contains(W, {5, 60}));
 }
 
-TEST_CASE("a window follows summer time") {
+TEST_CASE("a window follows daylight saving time") {
   DeclarationPtr D = parse(withWindow(
       R"({"from": "08:00", "to": "18:00", "zone": "Europe/Amsterdam"})"));
   REQUIRE(D);
@@ -174,14 +174,15 @@
     return eligibleUpstreams(*D, D->Services_[0], timeZoneClock(), When)
                .size() == 1U;
   };
-  // In winter 08:00 is 07:00 UTC; in July (212 days before) it is 06:00 UTC.
+  // In winter 08:00 is 07:00 UTC; in July (150 days before) it is 06:00 UTC.
   CHECK(!Serves(at(0, 6, 59)));
   CHECK(Serves(at(0, 7, 0)));
   CHECK(!Serves(at(-150, 5, 59)));
   CHECK(Serves(at(-150, 6, 0)));
 }
 
-TEST_CASE("explain gives yes or the first reason for no") {
+TEST_CASE(
+    "explain returns the first reason, or nothing for eligible upstreams") {
   DeclarationPtr D =
       parse(withWindow(R"({"from": "08:00", "to": "18:00", "zone": "UTC"})"));
   REQUIRE(D);
@@ -194,22 +195,22 @@
         "outside the selector's window");
 }
 
-TEST_CASE("the week's gaps and double uses are found") {
-  DeclarationPtr Gap =
+TEST_CASE("checkWeek reports services without upstreams and shared upstreams") {
+  DeclarationPtr WithGap =
       parse(withWindow(R"({"from": "08:00", "to": "18:00", "zone": "UTC"})"));
-  Problems Found = checkWeek(*Gap, "f", timeZoneClock(), at(0, 12, 0));
+  Problems Found = checkWeek(*WithGap, "f", timeZoneClock(), at(0, 12, 0));
   REQUIRE(Found.size() == 1U);
   CHECK(Found[0].Key_ == "services.index");
   CHECK(Found[0].Reason_ == "has no upstream from 2026-12-06T18:00Z");
-  DeclarationPtr Twice =
+  DeclarationPtr Shared =
       parse(with("/selectors/1/terms/0/values", {"archive", "index"}));
-  Found = checkWeek(*Twice, "f", timeZoneClock(), at(0, 12, 0));
+  Found = checkWeek(*Shared, "f", timeZoneClock(), at(0, 12, 0));
   REQUIRE(Found.size() == 1U);
   CHECK(Found[0].Key_ == "upstreams.a");
-  CHECK(checkWeek(*parse(Good), "f", timeZoneClock(), at(0, 0, 0)).empty());
+  CHECK(checkWeek(*parse(Valid), "f", timeZoneClock(), at(0, 0, 0)).empty());
 }
 
-TEST_CASE("the shipped deployments are valid at their full sizes") {
+TEST_CASE("the example declarations are valid") {
   for (const char *Name : {"amsterdam", "harrowgate"}) {
     std::ifstream In(std::string(EXAMPLES) + "/" + Name + "/declaration.json");
     std::stringstream Text;
@@ -227,19 +228,18 @@
   }
 }
 
-TEST_CASE(
-    "an evacuated data hall serves nothing new, and its name is checked") {
+TEST_CASE("evacuated data halls are validated and have no eligible upstreams") {
   DeclarationPtr D = parse(with("/evacuated_data_halls", Json::array({"h1"})));
   REQUIRE(D);
   const Service &Index = D->Services_[0];
   CHECK(eligibleUpstreams(*D, Index, timeZoneClock(), at(0, 12, 0)).empty());
   CHECK(explain(*D, Index, D->Upstreams_[0], timeZoneClock(), at(0, 12, 0)) ==
         "data hall \"h1\" is evacuated");
-  Problems Twice =
-      faultsOf(with("/evacuated_data_halls", Json::array({"h1", "h1"})));
-  REQUIRE(Twice.size() == 1);
-  CHECK(Twice[0].Key_ == "evacuated_data_halls[1]");
-  Problems Number = faultsOf(with("/evacuated_data_halls", Json::array({7})));
+  Problems Repeated =
+      problemsOf(with("/evacuated_data_halls", Json::array({"h1", "h1"})));
+  REQUIRE(Repeated.size() == 1);
+  CHECK(Repeated[0].Key_ == "evacuated_data_halls[1]");
+  Problems Number = problemsOf(with("/evacuated_data_halls", Json::array({7})));
   REQUIRE(Number.size() == 1);
   CHECK(Number[0].Reason_ == "must be the name of a data hall");
   DeclarationPtr Unknown =
--- a/test/route-test.cc
+++ b/test/route-test.cc
@@ -25,37 +25,37 @@
 
 } // namespace
 
-TEST_CASE("a route opens under the current and the previous key") {
-  SignedRoute Sealed = signRoute(sample(), Old);
+TEST_CASE("a route is verified with the current and the previous key") {
+  SignedRoute Signed = signRoute(sample(), Old);
   Route R;
-  CHECK(verifyRoute(Sealed.bytes(), {Old, Old}, ServiceId{1}, FlowId{2}, R) ==
+  CHECK(verifyRoute(Signed.bytes(), {Old, Old}, ServiceId{1}, FlowId{2}, R) ==
         ErrorKind::None);
   CHECK(R == sample());
-  CHECK(verifyRoute(Sealed.bytes(), {New, Old}, ServiceId{1}, FlowId{2}, R) ==
+  CHECK(verifyRoute(Signed.bytes(), {New, Old}, ServiceId{1}, FlowId{2}, R) ==
         ErrorKind::None);
-  CHECK(verifyRoute(Sealed.bytes(), {New, New}, ServiceId{1}, FlowId{2}, R) ==
+  CHECK(verifyRoute(Signed.bytes(), {New, New}, ServiceId{1}, FlowId{2}, R) ==
         ErrorKind::ForgedRoute);
 }
 
-TEST_CASE("a route of another service or flow is refused") {
-  SignedRoute Sealed = signRoute(sample(), Old);
+TEST_CASE("a route of another service or flow is rejected") {
+  SignedRoute Signed = signRoute(sample(), Old);
   Route R;
-  CHECK(verifyRoute(Sealed.bytes(), {Old, Old}, ServiceId{2}, FlowId{2}, R) ==
+  CHECK(verifyRoute(Signed.bytes(), {Old, Old}, ServiceId{2}, FlowId{2}, R) ==
         ErrorKind::ForgedRoute);
-  CHECK(verifyRoute(Sealed.bytes(), {Old, Old}, ServiceId{1}, FlowId{3}, R) ==
+  CHECK(verifyRoute(Signed.bytes(), {Old, Old}, ServiceId{1}, FlowId{3}, R) ==
         ErrorKind::ForgedRoute);
 }
 
-TEST_CASE("a route with any bit changed, or of any other length, is refused") {
-  SignedRoute Sealed = signRoute(sample(), Old);
+TEST_CASE("a route with a flipped bit or a shorter length is rejected") {
+  SignedRoute Signed = signRoute(sample(), Old);
   Route R;
-  for (std::size_t Bit = 0; Bit < Sealed.Size_ * 8; ++Bit) {
-    SignedRoute Forged = Sealed;
+  for (std::size_t Bit = 0; Bit < Signed.Size_ * 8; ++Bit) {
+    SignedRoute Forged = Signed;
     Forged.Bytes_[Bit / 8] ^= static_cast<std::uint8_t>(1 << (Bit % 8));
     CHECK(verifyRoute(Forged.bytes(), {Old, New}, ServiceId{1}, FlowId{2}, R) ==
           ErrorKind::ForgedRoute);
   }
-  for (std::size_t Size = 0; Size < Sealed.Size_; ++Size)
-    CHECK(verifyRoute({Sealed.Bytes_.data(), Size}, {Old, New}, ServiceId{1},
+  for (std::size_t Size = 0; Size < Signed.Size_; ++Size)
+    CHECK(verifyRoute({Signed.Bytes_.data(), Size}, {Old, New}, ServiceId{1},
                       FlowId{2}, R) == ErrorKind::ForgedRoute);
 }
--- a/test/settings-test.cc
+++ b/test/settings-test.cc
@@ -11,18 +11,18 @@
 
 namespace {
 
-const Json Good = {{"name", "lb-1"},
-                   {"data_hall", "h"},
-                   {"callers", "127.0.0.1:1"},
-                   {"data", "127.0.0.1:2"},
-                   {"upstream", "127.0.0.1:3"},
-                   {"control", "127.0.0.1:4"},
-                   {"status", "127.0.0.1:5"},
-                   {"platform", "127.0.0.1:6"},
-                   {"keys", {"000102030405060708090a0b0c0d0e0f"}}};
+const Json Valid = {{"name", "lb-1"},
+                    {"data_hall", "h"},
+                    {"callers", "127.0.0.1:1"},
+                    {"data", "127.0.0.1:2"},
+                    {"upstream", "127.0.0.1:3"},
+                    {"control", "127.0.0.1:4"},
+                    {"status", "127.0.0.1:5"},
+                    {"platform", "127.0.0.1:6"},
+                    {"keys", {"000102030405060708090a0b0c0d0e0f"}}};
 
 template <typename Function>
-Problems faultsOf(const std::string &Text, Function Parse) {
+Problems problemsOf(const std::string &Text, Function Parse) {
   return boost::leaf::try_handle_all(
       [&]() -> boost::leaf::result<Problems> {
         BOOST_LEAF_CHECK(Parse(Text, "file"));
@@ -35,37 +35,37 @@
 }
 
 std::string firstKey(const char *Key, const Json &Value) {
-  Json Changed = Good;
+  Json Changed = Valid;
   Changed[Key] = Value;
-  Problems Found = faultsOf(Changed.dump(), parseSettings);
+  Problems Found = problemsOf(Changed.dump(), parseSettings);
   return Found.empty() ? "" : Found.front().Key_;
 }
 
 } // namespace
 
-TEST_CASE("good settings are read, and one key stands for both") {
+TEST_CASE("valid settings are parsed, and a single key is used for both") {
   Settings S = boost::leaf::try_handle_all(
-      [&] { return parseSettings(Good.dump(), "file"); },
+      [&] { return parseSettings(Valid.dump(), "file"); },
       [] { return Settings(); });
   CHECK(S.Name_ == "lb-1");
   CHECK(S.Keys_[0] == S.Keys_[1]);
   CHECK(S.Keys_[0][15] == 15);
 }
 
-TEST_CASE("each bad setting is refused with its key named") {
+TEST_CASE("each invalid setting is reported with its key") {
   CHECK(firstKey("name", 5) == "name");
   CHECK(firstKey("data", "localhost:1") == "data");
   CHECK(firstKey("keys", Json::array()) == "keys");
   CHECK(firstKey("keys", {"00"}) == "keys[0]");
-  CHECK(firstKey("keys", {Good["keys"][0], "zz"}) == "keys[1]");
+  CHECK(firstKey("keys", {Valid["keys"][0], "zz"}) == "keys[1]");
   CHECK(firstKey("peer_links", 0) == "peer_links");
   CHECK(firstKey("seeds", {"x"}) == "seeds[0]");
   CHECK(firstKey("color", 1) == "color");
 }
 
-TEST_CASE("the operators' settings name the balancers") {
+TEST_CASE("invalid settings of thymewall-ctl are reported with their key") {
   auto First = [](const char *Text) {
-    Problems Found = faultsOf(Text, parseCtlSettings);
+    Problems Found = problemsOf(Text, parseCtlSettings);
     return Found.empty() ? "" : Found.front().Key_;
   };
   CHECK(First(R"({"balancers": ["127.0.0.1:7300"]})").empty());
@@ -73,10 +73,10 @@
   CHECK(First(R"({"balancer": []})") == "balancers");
 }
 
-TEST_CASE("each bad host list is refused with its key named") {
+TEST_CASE("each invalid host is reported with its key") {
   auto First = [](const std::string &Host) {
     Problems Found =
-        faultsOf(R"({"version": 1, "hosts": [)" + Host + "]}", parseHostList);
+        problemsOf(R"({"version": 1, "hosts": [)" + Host + "]}", parseHostList);
     return Found.empty() ? "" : Found.front().Key_;
   };
   CHECK(First(R"({"name": "u", "role": "upstream", "state": "live"})").empty());
