--- a/include/thymewall/declaration.h
+++ b/include/thymewall/declaration.h
@@ -30,8 +30,8 @@
 };
 bool matches(const Term &T, const Labels &L);
 
-/// A weekly window in local time. If `ToMinute_` is less than `FromMinute_`, it
-/// runs over midnight; `Days_` then gives the day on which it starts.
+/// A weekly window in local time. It runs over midnight if `ToMinute_` is less
+/// than `FromMinute_`; `Days_` holds the days on which it starts.
 struct Window {
   std::uint8_t Days_ = 0x7f;         ///< Bit 0 is Sunday.
   std::uint16_t FromMinute_ = 0;     ///< Minute of the local day.
--- a/src/platform-client.cc
+++ b/src/platform-client.cc
@@ -72,13 +72,14 @@
     }
     Changed_.notify_all();
     for (auto &Client : Clients_)
-      Client->stop(); // ends a watch that began before
+      Client->stop(); // aborts a long poll in progress
   }
 
   std::uint64_t calls() const { return Calls_; }
 
 private:
-  /// Blocks until a call is due. Returns false when the client stops.
+  /// Blocks until a call is due and sets \p LongPoll to its kind. Returns false
+  /// when the client stops.
   bool waitForWork(std::size_t Kind, bool &LongPoll) {
     std::unique_lock<std::mutex> Guard(Mutex_);
     Changed_.wait(Guard,
@@ -98,8 +99,8 @@
         continue;
       }
       std::unique_lock<std::mutex> Guard(Mutex_);
-      ReadPending_[Kind] =
-          ReadPending_[Kind] || !LongPoll; // a failed read is repeated
+      // A failed read stays pending.
+      ReadPending_[Kind] = ReadPending_[Kind] || !LongPoll;
       std::uniform_real_distribution<double> Jitter(0.5, 1);
       Changed_.wait_for(Guard, Delay * Jitter(Random), [&] {
         return Stopping_ || RefreshId_ != HandledRefreshIds_[Kind];
@@ -124,15 +125,15 @@
     Answer.Kind_ = static_cast<DocumentKind>(Kind);
     if (Result->status == 200)
       Answer.Text_ = Result->body;
-    // The handler sets the known version, which the next call sends.
+    // Waits for the handler, which sets the known version for the next call.
     auto Handled = std::make_shared<std::promise<void>>();
     asio::post(Context_, [this, Answer, Handled] {
       OnAnswer_(Answer);
       Handled->set_value();
     });
     Handled->get_future().wait_for(HandlerTimeout);
-    // The platform repeats a document that the handler rejected; a long poll
-    // then returns at once, so it counts as a failure to delay the next call.
+    // A document that the handler rejected is sent again at once in every long
+    // poll. This is reported as a failure, so that the next call is delayed.
     bool Repeated = Result->status == 200 && Result->body == LastBodies_[Kind];
     if (Result->status == 200)
       LastBodies_[Kind] = std::move(Result->body);
--- a/src/platform-client.h
+++ b/src/platform-client.h
@@ -33,7 +33,7 @@
   /// Sets whether to watch for changes by long polls. Each document is read
   /// once at the start in any case.
   void setWatching(bool Watching);
-  /// Bounds the exponential backoff after failed calls.
+  /// Sets the longest delay of the exponential backoff after failed calls.
   void setMaxRetryDelay(std::chrono::milliseconds Delay);
   /// Aborts calls in progress and reads every document once.
   void readNow(std::uint64_t RefreshId);
