--- a/src/time-zone.cc
+++ b/src/zone.cc
@@ -1,4 +1,4 @@
-#include "thymewall/time-zone.h"
+#include "thymewall/zone.h"
 
 #include <date/tz.h>
 
