--- a/src/declaration.cc
+++ b/src/declaration.cc
@@ -140,7 +140,7 @@
   U.Id_ = static_cast<UpstreamId>(nameId(U.Name_));
   claimName("upstreams", U.Name_, Path);
   U.Address_ = Reader.endpoint("address");
-  if (!U.Address_.empty() && !Addresses_.insert(U.At_).second)
+  if (!U.Address_.empty() && !Addresses_.insert(U.Address_).second)
     Reader.addProblem("address", "is already used by another upstream");
   U.DataHall_ = Reader.string("data_hall");
   U.Slots_ = static_cast<std::uint32_t>(Reader.integerOr("slots", 1, 1, 10000));
