--- a/include/thymewall/balancer.h
+++ b/include/thymewall/balancer.h
@@ -173,7 +173,7 @@
   std::uint64_t Seed_ = 0;
   KeyPair Keys_{};
   Chooser Chooser_ = chooseByOwnFlows;
-  ZoneClock Zones_;
+  TimeZoneClock Zones_;
   DelayHook OnDelay_;
   std::uint32_t MaxFlows_ = 1'000'000;
   std::uint32_t MaxRequests_ = 100'000;
@@ -217,7 +217,7 @@
   BalancerBuilder &seed(std::uint64_t Value);
   BalancerBuilder &keys(const KeyPair &Value);
   BalancerBuilder &chooser(Chooser Value);
-  BalancerBuilder &zones(ZoneClock Value);
+  BalancerBuilder &zones(TimeZoneClock Value);
   BalancerBuilder &onDelay(DelayHook Value);
   BalancerBuilder &maxFlows(std::uint32_t Value);
   Balancer build() const;
--- a/include/thymewall/core.h
+++ b/include/thymewall/core.h
@@ -1,6 +1,5 @@
 /// \file
-/// Basic value types of thymewall: times, addresses, identifiers and the closed
-/// list of error kinds. Everything else in the library includes this header.
+/// Basic value types: times, addresses, identifiers and error kinds.
 #ifndef THYMEWALL_CORE_H
 #define THYMEWALL_CORE_H
 
@@ -16,8 +15,7 @@
 
 using Micros = std::chrono::microseconds;
 
-/// Monotonic time as the caller of the core measures it. The core never reads
-/// a clock.
+/// Monotonic time. The core reads no clock; its caller passes the time in.
 struct MonoClock {
   using duration = Micros;
   using rep = duration::rep;
@@ -36,7 +34,7 @@
 using MonoTime = MonoClock::time_point;
 using WallTime = WallClock::time_point;
 
-/// Both clocks, read together by the harness when an event arrives.
+/// Both clocks, read together when an event arrives.
 struct Moment {
   MonoTime Mono_;
   WallTime Wall_;
@@ -44,16 +42,16 @@
 
 /// An IP address and port; IPv4 is stored as an IPv4-mapped IPv6 address.
 struct Endpoint {
-  std::array<std::uint8_t, 16> Address_{};
+  std::array<std::uint8_t, 16> Ip_{};
   std::uint16_t Port_ = 0;
 
   /// Makes an IPv4 endpoint from an address in host byte order.
   static constexpr Endpoint v4(std::uint32_t Address, std::uint16_t Port) {
     Endpoint E;
-    E.Address_[10] = 0xff;
-    E.Address_[11] = 0xff;
+    E.Ip_[10] = 0xff;
+    E.Ip_[11] = 0xff;
     for (std::size_t I = 0; I < 4; ++I)
-      E.Address_[12 + I] = static_cast<std::uint8_t>(Address >> (24 - 8 * I));
+      E.Ip_[12 + I] = static_cast<std::uint8_t>(Address >> (24 - 8 * I));
     E.Port_ = Port;
     return E;
   }
@@ -61,13 +59,13 @@
 };
 
 inline bool operator==(const Endpoint &A, const Endpoint &B) {
-  return A.Port_ == B.Port_ && A.Address_ == B.Address_;
+  return A.Port_ == B.Port_ && A.Ip_ == B.Ip_;
 }
 inline bool operator!=(const Endpoint &A, const Endpoint &B) {
   return !(A == B);
 }
 inline bool operator<(const Endpoint &A, const Endpoint &B) {
-  return std::tie(A.Address_, A.Port_) < std::tie(B.Address_, B.Port_);
+  return std::tie(A.Ip_, A.Port_) < std::tie(B.Ip_, B.Port_);
 }
 
 /// Hash of the service's name; see `nameId`.
@@ -76,27 +74,28 @@
 enum class UpstreamId : std::uint32_t {};
 /// Hash of the balancer's name; see `nameId`.
 enum class BalancerId : std::uint32_t {};
-/// The caller's random 64-bit name of a flow.
+/// Random 64-bit identifier of a flow, drawn by the caller.
 enum class FlowId : std::uint64_t {};
-/// A random number that a process draws at its start.
+/// Random number that a process draws at start; tells its restarts apart.
 enum class Incarnation : std::uint64_t {};
-/// The version number of a declaration; larger is newer, 0 is none.
+/// Version number of a document; larger is newer, 0 is none.
 using Version = std::uint64_t;
-/// Counts the changes of everything that is published; larger is newer.
+/// Number of changes to the published data so far; larger is newer.
 using Revision = std::uint64_t;
 
+/// Returns the underlying integer of an enumerator.
 template <typename T> constexpr auto raw(T Value) {
   return static_cast<std::underlying_type_t<T>>(Value);
 }
 
-/// The 32-bit identifier of a name (XXH64, folded). Declarations in which two
-/// names share an identifier are refused.
+/// Returns the 32-bit identifier of a name (XXH64, folded). Declarations in
+/// which two names share an identifier are rejected.
 std::uint32_t nameId(std::string_view Name);
 
-/// 64-bit hash of two numbers (XXH64), used for rendezvous hashing.
+/// Returns the 64-bit XXH64 hash of two numbers, for rendezvous hashing.
 std::uint64_t hashPair(std::uint64_t A, std::uint64_t B);
 
-/// Every reason for which the system refuses, drops or gives up.
+/// Reasons for which a message is refused or dropped, or a request abandoned.
 enum class ErrorKind : std::uint8_t {
   None,
   Malformed,
@@ -129,31 +128,31 @@
   Count
 };
 
-/// What the caller is told for an error kind.
-enum class Answer : std::uint8_t {
-  Silence,        ///< Dropped and counted.
-  NotRun,         ///< No upstream has run it, and none will.
-  OutcomeUnknown, ///< It may have been run; a repeat is the caller's decision.
-  Reset ///< The caller's transport is told at once that the flow is over.
+/// What the caller is sent for an error kind.
+enum class ErrorResponse : std::uint8_t {
+  Drop,           ///< Nothing; the message is only counted.
+  NotRun,         ///< No upstream has run the request, and none will.
+  OutcomeUnknown, ///< The request may have run; the caller decides on a retry.
+  Reset           ///< A reset of the flow, such as a TCP RST.
 };
 
-/// One row of the table from kind to answer. `NotRun` is an upper bound: the
-/// core lowers it to `OutcomeUnknown` wherever another process may have sent
-/// the request on (docs/DESIGN.md, "Every point of giving up").
+/// Name and response of an error kind. The core sends `OutcomeUnknown` in place
+/// of `NotRun` where another process may have forwarded the request.
 struct ErrorRow {
   ErrorKind Kind_;
   std::string_view Name_;
-  Answer Answer_;
+  ErrorResponse Response_;
   Micros RetryAfter_;
 };
 
-/// The row of a kind; an out-of-range kind gets the row of `Malformed`.
+/// Returns the row of a kind, or that of `Malformed` if it is out of range.
 const ErrorRow &errorRow(ErrorKind Kind);
 
-/// Parses "192.0.2.1:80" or "[2001:db8::1]:80"; an empty endpoint on failure.
+/// Parses "192.0.2.1:80" or "[2001:db8::1]:80"; returns an empty endpoint on
+/// failure.
 Endpoint parseEndpoint(std::string_view Text);
-/// The inverse of `parseEndpoint`.
-std::string formatEndpoint(const Endpoint &Where);
+/// Formats an endpoint as `parseEndpoint` reads it.
+std::string formatEndpoint(const Endpoint &Value);
 
 } // namespace thymewall
 
--- a/src/balancer-caller.cc
+++ b/src/balancer-caller.cc
@@ -50,13 +50,13 @@
   if (M.Route_.empty()) {
     ++Counters_.ResolvedBy_[static_cast<std::size_t>(ResolvedBy::Refused)];
     if (M.Kind_ == MessageKind::Request)
-      refuse(M, ErrorKind::RouteRequired, Answer::OutcomeUnknown);
+      refuse(M, ErrorKind::RouteRequired, ErrorResponse::OutcomeUnknown);
     else
       drop(ErrorKind::RouteRequired);
     return false;
   }
   ErrorKind Reason =
-      thymewall::open(M.Route_, Options_.Keys_, M.Service_, M.Flow_, R);
+      thymewall::verifyRoute(M.Route_, Options_.Keys_, M.Service_, M.Flow_, R);
   if (Reason == ErrorKind::None)
     return true;
   drop(Reason);
@@ -67,11 +67,11 @@
 /// longer declared, or `None` if its address now belongs to another upstream.
 std::uint32_t Balancer::Impl::resolveUpstream(const Route &R) {
   std::uint32_t Index = Upstreams_.findById(R.Upstream_);
-  std::uint32_t AtAddress = Upstreams_.findByEndpoint(R.UpstreamAt_);
+  std::uint32_t AtAddress = Upstreams_.findByEndpoint(R.UpstreamAddress_);
   bool Reused = AtAddress != UpstreamTable::None && AtAddress != Index;
   if (Reused || Index != UpstreamTable::None)
     return Reused ? UpstreamTable::None : Index;
-  return Upstreams_.addUndeclared(R.Upstream_, R.UpstreamAt_);
+  return Upstreams_.addUndeclared(R.Upstream_, R.UpstreamAddress_);
 }
 
 void Balancer::Impl::openFlow(Message M, bool MayForward) {
@@ -81,17 +81,17 @@
   if (Requests_.find(keyOf(M)))
     return; // a retransmission of an open in progress
   if (!S || !ready())
-    return refuse(M, ErrorKind::NotReady, Answer::NotRun);
+    return refuse(M, ErrorKind::NotReady, ErrorResponse::NotRun);
   FlowKey Key{M.Service_, M.Flow_};
   if (Stopping_ && MayForward) {
     if (const Peer *P = successorForOpen(Key))
       return sendToPeer(P->Data_, PeerMessageKind::Forwarded, M);
   }
-  WallTime Latest = Now_.Wall_ + S->Service_.DeadlineAfter_;
+  WallTime Latest = Now_.Wall_ + S->Service_.DefaultTimeout_;
   if (M.Deadline_ == WallTime{} || M.Deadline_ > Latest)
     M.Deadline_ = Latest;
   if (M.Deadline_ <= Now_.Wall_)
-    return refuse(M, ErrorKind::DeadlinePassed, Answer::NotRun);
+    return refuse(M, ErrorKind::DeadlinePassed, ErrorResponse::NotRun);
   double RetryTokens = S->RetryTokens_ + S->Service_.RetryBudget_;
   S->RetryTokens_ = std::min(RetryTokens, MaxRetryTokens);
   placeFlow(M, *S);
@@ -123,7 +123,7 @@
   if (Index == UpstreamTable::None) {
     const EligibleSet &Candidates = eligibleUpstreams(S);
     if (Candidates.empty())
-      return refuse(M, ErrorKind::NoUpstream, Answer::NotRun);
+      return refuse(M, ErrorKind::NoUpstream, ErrorResponse::NotRun);
     Index = chooseUpstream(Key, Candidates);
   }
   RequestRow Row;
@@ -136,7 +136,7 @@
   Row.Tries_ = 1;
   WallTime TryUntil = std::min(M.Deadline_, Now_.Wall_ + OpenAttemptTimeout);
   if (!Requests_.insert(Row, requestDue(TryUntil)))
-    return refuse(M, ErrorKind::Overloaded, Answer::NotRun);
+    return refuse(M, ErrorKind::Overloaded, ErrorResponse::NotRun);
   // Counted before the reply, so that a burst of opens is spread.
   if (!Existing)
     ++Upstreams_[Index].OwnFlows_;
@@ -173,7 +173,7 @@
       if (Index != Row.Upstream_)
         Alternatives.add(Index, Upstreams_[Index].Slots_);
   if (Alternatives.empty())
-    return refuseRow(Row, Reason, Answer::NotRun);
+    return refuseRow(Row, Reason, ErrorResponse::NotRun);
   S->RetryTokens_ -= 1;
   ++Counters_.Retries_;
   Row.Upstream_ = chooseUpstream(Key, Alternatives);
@@ -206,32 +206,32 @@
       return adopt(M, R);
     return forwardToPeer(M, R, Next.Data_, PeerMessageKind::Forwarded);
   }
-  if (R.HomeAt_ == Options_.Data_) // an earlier process at this address
+  if (R.HomeAddress_ == Options_.Data_) // an earlier process at this address
     return rehome(M, R, ErrorKind::HomeUnreachable);
-  forwardToPeer(M, R, R.HomeAt_, PeerMessageKind::Forwarded);
+  forwardToPeer(M, R, R.HomeAddress_, PeerMessageKind::Forwarded);
 }
 
 bool Balancer::Impl::overloaded(const ServiceState &S,
                                 const UpstreamRow &U) const {
-  return U.InFlight_ >= std::uint64_t{S.Service_.InFlightPerSlot_} * U.Slots_;
+  return U.InFlight_ >= std::uint64_t{S.Service_.MaxInFlightPerSlot_} * U.Slots_;
 }
 
 /// Dispatches a repeatable request. Other balancers may dispatch copies of it,
 /// so it is never refused as not run.
 void Balancer::Impl::dispatchRepeatable(const Message &M, const Route &R) {
   if (M.Deadline_ != WallTime{} && M.Deadline_ <= Now_.Wall_)
-    return refuse(M, ErrorKind::DeadlinePassed, Answer::OutcomeUnknown);
+    return refuse(M, ErrorKind::DeadlinePassed, ErrorResponse::OutcomeUnknown);
   std::uint32_t Index = resolveUpstream(R);
   if (Index == UpstreamTable::None)
-    return refuse(M, ErrorKind::FlowUnknown, Answer::OutcomeUnknown);
+    return refuse(M, ErrorKind::FlowUnknown, ErrorResponse::OutcomeUnknown);
   if (RequestRow *Previous = Requests_.find(keyOf(M)))
     removeRequest(*Previous); // the retry replaces the earlier attempt
   if (overloaded(*serviceState(M.Service_), Upstreams_[Index]))
-    return refuse(M, ErrorKind::Overloaded, Answer::OutcomeUnknown);
+    return refuse(M, ErrorKind::Overloaded, ErrorResponse::OutcomeUnknown);
   DispatchOptions Options;
   Options.NewRoute_ = takeOverFlow(R) != nullptr;
   if (!dispatchRequest(M, R, Index, Options))
-    refuse(M, ErrorKind::Overloaded, Answer::OutcomeUnknown);
+    refuse(M, ErrorKind::Overloaded, ErrorResponse::OutcomeUnknown);
 }
 
 /// Sends a request to its upstream and tracks it until its last part or its
@@ -244,7 +244,7 @@
   Row.Key_ = keyOf(M);
   Row.Attempt_ = nextAttempt();
   Row.Deadline_ = M.Deadline_ == WallTime{}
-                      ? Now_.Wall_ + S->Service_.DeadlineAfter_
+                      ? Now_.Wall_ + S->Service_.DefaultTimeout_
                       : M.Deadline_;
   Row.SentAt_ = Now_.Mono_;
   Row.Caller_ = M.Caller_;
@@ -262,7 +262,7 @@
   Out.Deadline_ = Row.Deadline_;
   Out.Attempt_ = Row.Attempt_;
   Out.Incarnation_ = R.UpstreamIncarnation_;
-  sendToUpstream(R.UpstreamAt_, Out);
+  sendToUpstream(R.UpstreamAddress_, Out);
   return true;
 }
 
@@ -275,7 +275,7 @@
   Message Out = M;
   Out.Route_ = {};
   Out.Incarnation_ = R.UpstreamIncarnation_;
-  sendToUpstream(R.UpstreamAt_, Out);
+  sendToUpstream(R.UpstreamAddress_, Out);
 }
 
 /// Sends a close to the upstream and to the home. If the close is lost, the
@@ -283,7 +283,7 @@
 void Balancer::Impl::closeFlow(const Message &M, const Route &R) {
   relayToUpstream(M, R);
   if (!isHome(R))
-    return sendToPeer(R.HomeAt_, PeerMessageKind::Forwarded, M);
+    return sendToPeer(R.HomeAddress_, PeerMessageKind::Forwarded, M);
   FlowRow *Row = Flows_.find({M.Service_, M.Flow_});
   if (Row && Row->Epoch_ == R.Epoch_)
     markFlowClosed(*Row);
@@ -296,12 +296,12 @@
 /// Refuses a request. \p StrongestAnswer is `NotRun` only if no copy was or
 /// will be dispatched; the table of error kinds may lower it.
 void Balancer::Impl::refuse(const Message &M, ErrorKind Reason,
-                            Answer StrongestAnswer, Bytes NewRoute) {
+                            ErrorResponse StrongestAnswer, Bytes NewRoute) {
   ++Counters_.Errors_[static_cast<std::size_t>(Reason)];
   const ErrorRow &Row = errorRow(Reason);
-  bool MaySayNotRun = StrongestAnswer == Answer::NotRun ||
+  bool MaySayNotRun = StrongestAnswer == ErrorResponse::NotRun ||
                       !isEnabled(Mechanism::NotRunDowngrade);
-  bool NotRun = MaySayNotRun && Row.Answer_ == Answer::NotRun;
+  bool NotRun = MaySayNotRun && Row.Response_ == ErrorResponse::NotRun;
   ++(NotRun ? Counters_.NotRun_ : Counters_.OutcomeUnknown_);
   Message Out = makeReply(M, MessageKind::Refused);
   Out.Flags_ = NotRun ? FlagNotRun : FlagOutcomeUnknown;
@@ -314,7 +314,7 @@
 }
 
 void Balancer::Impl::refuseRow(const RequestRow &Row, ErrorKind Reason,
-                               Answer StrongestAnswer, WallTime RetryAt) {
+                               ErrorResponse StrongestAnswer, WallTime RetryAt) {
   Message M;
   M.Service_ = Row.Key_.Service_;
   M.Flow_ = Row.Key_.Flow_;
--- a/src/balancer-home.cc
+++ b/src/balancer-home.cc
@@ -78,20 +78,20 @@
   Count -= Count == 0 ? 0 : 1;
 }
 
-SealedRoute Balancer::Impl::sealRoute(const FlowRow &Row,
+SignedRoute Balancer::Impl::sealRoute(const FlowRow &Row,
                                       Incarnation Upstream) const {
   const UpstreamRow &U = Upstreams_.rows()[Row.Upstream_];
   Route R;
   R.Service_ = Row.Service_;
   R.Flow_ = Row.Flow_;
   R.Upstream_ = U.Id_;
-  R.UpstreamAt_ = U.At_;
+  R.UpstreamAddress_ = U.At_;
   R.UpstreamIncarnation_ = Upstream;
-  R.Placed_ = Declaration_ ? Declaration_->Version_ : 0;
-  R.HomeAt_ = Options_.Data_;
-  R.Home_ = Options_.Incarnation_;
+  R.PlacedVersion_ = Declaration_ ? Declaration_->Version_ : 0;
+  R.HomeAddress_ = Options_.Data_;
+  R.HomeIncarnation_ = Options_.Incarnation_;
   R.Epoch_ = Row.Epoch_;
-  return seal(R, Options_.Keys_[0]);
+  return signRoute(R, Options_.Keys_[0]);
 }
 
 /// Handles an at-most-once request at the home that its route names.
@@ -119,7 +119,7 @@
     return; // a duplicate of a request in progress
   WallTime LatestDeadline = Now_.Wall_ + MaxServiceDeadline_ + MaxClockSkew;
   if (M.Deadline_ > LatestDeadline)
-    return refuse(M, ErrorKind::DeadlineTooFar, Answer::OutcomeUnknown);
+    return refuse(M, ErrorKind::DeadlineTooFar, ErrorResponse::OutcomeUnknown);
   std::uint32_t Index = Row.Upstream_;
   bool Closed = Index == UpstreamTable::None;
   bool Used =
@@ -128,14 +128,14 @@
   if (Used && Origin == RequestOrigin::Own && hasNamedSuccessors())
     return delegate(M, R, PeerMessageKind::Duplicate);
   if (Used && !Replays)
-    return refuse(M, ErrorKind::NumberUsed, Answer::OutcomeUnknown);
+    return refuse(M, ErrorKind::NumberUsed, ErrorResponse::OutcomeUnknown);
   Row.markNumberUsed(M.Request_);
   refreshIdleTimeout(Row);
   // Other balancers may dispatch a copy if the upstream deduplicates.
   bool SoleCopy = !Used && !Replays;
   if (!Used && Origin == RequestOrigin::Own && hasNamedSuccessors())
     return delegate(M, R, PeerMessageKind::Delegated);
-  Answer StrongestAnswer = SoleCopy ? Answer::NotRun : Answer::OutcomeUnknown;
+  ErrorResponse StrongestAnswer = SoleCopy ? ErrorResponse::NotRun : ErrorResponse::OutcomeUnknown;
   if (Closed || resolveUpstream(R) != Index)
     return refuse(M, ErrorKind::FlowUnknown, StrongestAnswer);
   if (M.Deadline_ != WallTime{} && M.Deadline_ <= Now_.Wall_)
@@ -159,8 +159,8 @@
   RequestKey Key{M.Service_, M.Request_, M.Flow_};
   if (Forwards_.find(Key))
     return;
-  if (Kind == PeerMessageKind::Forwarded && Destination == R.HomeAt_ &&
-      isSuspect(R.Home_))
+  if (Kind == PeerMessageKind::Forwarded && Destination == R.HomeAddress_ &&
+      isSuspect(R.HomeIncarnation_))
     return rehome(M, R, ErrorKind::HomeUnreachable);
   ForwardRow Row;
   Row.Key_ = Key;
@@ -169,7 +169,7 @@
   Row.Tries_ = 1;
   Row.store(M);
   if (!Forwards_.insert(Row, requestTick(Now_.Mono_) + ForwardTimeoutTicks[0]))
-    return refuse(M, ErrorKind::Overloaded, Answer::OutcomeUnknown);
+    return refuse(M, ErrorKind::Overloaded, ErrorResponse::OutcomeUnknown);
   sendToPeer(Destination, Kind, M);
 }
 
@@ -187,11 +187,11 @@
 void Balancer::Impl::abandonForward(ForwardRow &Row, ErrorKind Reason) {
   Message M = Row.message();
   Route R;
-  if (thymewall::open(M.Route_, Options_.Keys_, M.Service_, M.Flow_, R) ==
+  if (thymewall::verifyRoute(M.Route_, Options_.Keys_, M.Service_, M.Flow_, R) ==
       ErrorKind::None) {
     if (Row.Kind_ == PeerMessageKind::Forwarded &&
-        Row.Destination_ == R.HomeAt_)
-      markSuspect(R.Home_);
+        Row.Destination_ == R.HomeAddress_)
+      markSuspect(R.HomeIncarnation_);
     rehome(M, R, Reason);
   }
 }
@@ -212,7 +212,7 @@
 /// already sent keep the old route; new ones use the new home's. Returns null
 /// if the home is not suspect or the flow can't be taken over.
 FlowRow *Balancer::Impl::takeOverFlow(const Route &R) {
-  if (Stopping_ || isHome(R) || !isSuspect(R.Home_))
+  if (Stopping_ || isHome(R) || !isSuspect(R.HomeIncarnation_))
     return nullptr;
   std::uint32_t Index = resolveUpstream(R);
   if (Index == UpstreamTable::None)
@@ -227,7 +227,7 @@
   FlowRow *Row = takeOverFlow(R);
   if (!Row)
     return;
-  SealedRoute Sealed = sealRoute(*Row, R.UpstreamIncarnation_);
+  SignedRoute Sealed = sealRoute(*Row, R.UpstreamIncarnation_);
   Message Out = makeReply(M, MessageKind::Moved);
   Out.Route_ = Sealed.bytes();
   (*Sink_)(ToCaller{M.Caller_, Out});
@@ -244,12 +244,12 @@
   FlowRow *Row = Gone || Stopping_ ? nullptr : findOrCreateFlow(Key, Index);
   ++Counters_.Rehomed_;
   if (!Row || Row->Upstream_ == UpstreamTable::None)
-    return refuse(M, Reason, Answer::OutcomeUnknown);
+    return refuse(M, Reason, ErrorResponse::OutcomeUnknown);
   if (Row->Upstream_ == Index && Upstreams_[Index].RemembersRequests_)
     return submitToFlow(*Row, M, R, RequestOrigin::Replayed);
   Row->markNumberUsed(M.Request_);
-  SealedRoute Sealed = sealRoute(*Row, R.UpstreamIncarnation_);
-  refuse(M, Reason, Answer::OutcomeUnknown, Sealed.bytes());
+  SignedRoute Sealed = sealRoute(*Row, R.UpstreamIncarnation_);
+  refuse(M, Reason, ErrorResponse::OutcomeUnknown, Sealed.bytes());
 }
 
 void Balancer::Impl::on(const FromPeer &E) {
@@ -283,7 +283,7 @@
 void Balancer::Impl::onDuplicate(const Message &M, const Endpoint &From) {
   acknowledge(M, From, PeerMessageKind::ForwardAccepted);
   if (!Requests_.find({M.Service_, M.Request_, M.Flow_}))
-    refuse(M, ErrorKind::NumberUsed, Answer::OutcomeUnknown);
+    refuse(M, ErrorKind::NumberUsed, ErrorResponse::OutcomeUnknown);
 }
 
 void Balancer::Impl::onForwarded(const Message &M, const Endpoint &From,
@@ -292,7 +292,7 @@
     return openFlow(M, false);
   Route R;
   ErrorKind Reason =
-      thymewall::open(M.Route_, Options_.Keys_, M.Service_, M.Flow_, R);
+      thymewall::verifyRoute(M.Route_, Options_.Keys_, M.Service_, M.Flow_, R);
   if (Reason != ErrorKind::None)
     return drop(Reason);
   if (M.Kind_ == MessageKind::Close) {
--- a/src/balancer-impl.h
+++ b/src/balancer-impl.h
@@ -114,10 +114,10 @@
 
   // Replies and sending (balancer-caller.cc).
   void drop(ErrorKind Reason);
-  void refuse(const Message &M, ErrorKind Reason, Answer StrongestAnswer,
+  void refuse(const Message &M, ErrorKind Reason, ErrorResponse StrongestAnswer,
               Bytes NewRoute = {});
   void refuseRow(const RequestRow &Row, ErrorKind Reason,
-                 Answer StrongestAnswer, WallTime RetryAt = {});
+                 ErrorResponse StrongestAnswer, WallTime RetryAt = {});
   void sendToUpstream(const Endpoint &To, const Message &M);
   void sendToPeer(const Endpoint &To, PeerMessageKind Kind, const Message &M);
 
@@ -132,13 +132,13 @@
   void completeRequest(RequestRow &Row);
 
   // Homes (balancer-home.cc).
-  bool isHome(const Route &R) const { return R.Home_ == Options_.Incarnation_; }
+  bool isHome(const Route &R) const { return R.HomeIncarnation_ == Options_.Incarnation_; }
   FlowRow *createFlow(const FlowKey &Key, std::uint32_t Upstream);
   FlowRow *findOrCreateFlow(const FlowKey &Key, std::uint32_t Upstream);
   void refreshIdleTimeout(FlowRow &Row);
   void markFlowClosed(FlowRow &Row);
   void releaseFlow(FlowRow &Row);
-  SealedRoute sealRoute(const FlowRow &Row, Incarnation Upstream) const;
+  SignedRoute sealRoute(const FlowRow &Row, Incarnation Upstream) const;
   void submit(const Message &M, const Route &R);
   void submitToFlow(FlowRow &Row, const Message &M, const Route &R,
                     RequestOrigin Origin);
--- a/src/balancer-upstream.cc
+++ b/src/balancer-upstream.cc
@@ -85,12 +85,12 @@
     Flow = createFlow(Key, Upstream);
   }
   if (!Flow) {
-    refuseRow(*Row, ErrorKind::Overloaded, Answer::NotRun);
+    refuseRow(*Row, ErrorKind::Overloaded, ErrorResponse::NotRun);
     return removeRequest(*Row);
   }
   removeRequest(*Row);
   ++Counters_.Opened_;
-  SealedRoute Sealed = sealRoute(*Flow, M.Incarnation_);
+  SignedRoute Sealed = sealRoute(*Flow, M.Incarnation_);
   Message Out = makeReply(M, MessageKind::Opened);
   Out.Route_ = Sealed.bytes();
   (*Sink_)(ToCaller{Caller, Out});
@@ -115,7 +115,7 @@
   Out.Incarnation_ = {};
   Out.OpenFlows_ = 0;
   Out.Epoch_ = 0;
-  SealedRoute Sealed;
+  SignedRoute Sealed;
   FlowRow *Flow = Row->NewRoute_ ? Flows_.find({M.Service_, M.Flow_}) : nullptr;
   if (Flow && Flow->Upstream_ == Upstream)
     Sealed = sealRoute(*Flow, M.Incarnation_);
@@ -147,8 +147,8 @@
     return;
   }
   bool Started = Row->ReceivedParts_ != 0;
-  Answer StrongestAnswer =
-      Row->SoleCopy_ && !Started ? Answer::NotRun : Answer::OutcomeUnknown;
+  ErrorResponse StrongestAnswer =
+      Row->SoleCopy_ && !Started ? ErrorResponse::NotRun : ErrorResponse::OutcomeUnknown;
   refuseRow(*Row, ErrorKind::UpstreamRefused, StrongestAnswer, M.RetryAt_);
   removeRequest(*Row);
 }
--- a/src/balancer.cc
+++ b/src/balancer.cc
@@ -102,7 +102,7 @@
   Old.swap(Services_);
   for (const Service &S : Declaration_->Services_) {
     Services_.push_back({S, {}, 0, {}, 0});
-    MaxServiceDeadline_ = std::max(MaxServiceDeadline_, S.DeadlineAfter_);
+    MaxServiceDeadline_ = std::max(MaxServiceDeadline_, S.DefaultTimeout_);
     for (const ServiceState &Previous : Old)
       if (Previous.Service_.Id_ == S.Id_)
         Services_.back().RetryTokens_ = Previous.RetryTokens_;
@@ -169,7 +169,7 @@
     ServiceState &S = Services_[I];
     S.Selected_.clear();
     S.Generation_ = 0;
-    for (std::size_t Index : eligible(*Declaration_, Declaration_->Services_[I],
+    for (std::size_t Index : eligibleUpstreams(*Declaration_, Declaration_->Services_[I],
                                       Options_.Zones_, Now_.Wall_))
       S.Selected_.push_back(
           Upstreams_.findById(Declaration_->Upstreams_[Index].Id_));
@@ -225,7 +225,7 @@
     Cancel.Caller_ = Row.Caller_;
     sendToUpstream(Upstreams_[Row.Upstream_].At_, Cancel);
     --Upstreams_[Row.Upstream_].InFlight_;
-    refuseRow(Row, ErrorKind::NoAnswer, Answer::OutcomeUnknown);
+    refuseRow(Row, ErrorKind::NoAnswer, ErrorResponse::OutcomeUnknown);
   });
 }
 
@@ -287,7 +287,7 @@
   Options_.Chooser_ = std::move(Value);
   return *this;
 }
-BalancerBuilder &BalancerBuilder::zones(ZoneClock Value) {
+BalancerBuilder &BalancerBuilder::zones(TimeZoneClock Value) {
   Options_.Zones_ = std::move(Value);
   return *this;
 }
--- a/src/control-plane.cc
+++ b/src/control-plane.cc
@@ -14,19 +14,19 @@
 using namespace std::chrono_literals;
 using SteadyTime = std::chrono::steady_clock::time_point;
 
-constexpr auto HeartbeatEvery = 1s;
-/// News of a watcher crosses a data hall in a few heartbeats.
-constexpr auto SilentAfter = 20s;
-constexpr std::size_t MaxSuccessionsKept = 256;
+constexpr auto HeartbeatInterval = 1s;
+/// Leaves a watcher's age several heartbeats to reach its whole data hall.
+constexpr auto WatcherStaleAfter = 20s;
+constexpr std::size_t MaxSuccessions = 256;
 
-/// One open connection, from either side.
+/// An open connection, opened by either side.
 struct Link {
-  std::string Target_; ///< Control address; empty when the peer opened it.
-  std::string Peer_;   ///< Name, once a heartbeat came.
+  std::string Target_; ///< Control address; empty if the peer opened the link.
+  std::string Peer_;   ///< Name; empty until the first heartbeat.
 };
 
 struct Document {
-  DocumentVersion Which_;
+  DocumentVersion Version_;
   std::string Text_;
 };
 
@@ -38,34 +38,34 @@
        ControlHooks Hooks);
 
   void setHosts(HostListPtr Hosts);
-  void setDocument(DocumentKind Kind, const DocumentVersion &Which,
+  void setDocument(DocumentKind Kind, const DocumentVersion &NewVersion,
                    std::string Text);
   void setLeaving();
-  void askFreshness(std::uint64_t Asked);
-  void tell(const Succession &S);
-  void noteWatched();
-  std::vector<std::string> silentWatchers() const;
+  void requestHeartbeats(std::uint64_t RefreshId);
+  void broadcast(const Succession &S);
+  void recordPlatformAnswer();
+  std::vector<std::string> staleWatchers() const;
   ControlCounters counters() const;
 
 private:
   PeerLinkHooks linkHooks();
-  void onOpen(LinkId Which, const std::string &Target);
-  void onMessage(LinkId Which, const std::string &Bytes);
-  void receive(LinkId Which, const Heartbeat &M);
-  void receive(LinkId Which, const DocumentWanted &M);
-  void receive(LinkId Which, const DocumentSent &M);
-  void receive(LinkId Which, const SuccessionSent &M);
-  void receive(LinkId Which, const FreshnessAsked &M);
-  void send(LinkId Which, const ControlMessage &M);
+  void onOpen(LinkId Id, const std::string &Target);
+  void onMessage(LinkId Id, const std::string &Bytes);
+  void receive(LinkId Id, const Heartbeat &M);
+  void receive(LinkId Id, const DocumentRequest &M);
+  void receive(LinkId Id, const DocumentMessage &M);
+  void receive(LinkId Id, const SuccessionMessage &M);
+  void receive(LinkId Id, const HeartbeatRequest &M);
+  void send(LinkId Id, const ControlMessage &M);
   void sendAll(const ControlMessage &M);
   Heartbeat heartbeat() const;
-  void learnWatchers(const Heartbeat &M);
-  std::vector<WatcherAge> freshestWatchers() const;
-  void keepLinks();
+  void mergeWatchers(const Heartbeat &M);
+  std::vector<WatcherAge> recentWatchers() const;
+  void openMissingLinks();
   void connect(const std::string &Target);
-  void closeSpareLink(LinkId Which, const std::string &Peer);
-  bool linkedTo(const std::string &Name, const std::string &Target) const;
-  void schedule();
+  void closeDuplicateLink(LinkId Id, const std::string &Peer);
+  bool isLinkedTo(const std::string &Name, const std::string &Target) const;
+  void scheduleHeartbeat();
 
   const Settings &Settings_;
   Incarnation Self_;
@@ -73,12 +73,12 @@
   PeerLinks Peers_;
   asio::steady_timer Timer_;
   HostListPtr Hosts_;
-  std::array<Document, DocumentKinds> Documents_;
+  std::array<Document, DocumentKindCount> Documents_;
   std::map<LinkId, Link> Links_;
   std::set<std::string> Connecting_;
-  std::vector<Host> Chosen_;                   ///< To link to.
-  std::map<std::string, std::string> HallOf_;  ///< By balancer name.
-  std::map<BalancerId, SteadyTime> WatchedAt_; ///< In our data hall.
+  std::vector<Host> ChosenPeers_;
+  std::map<std::string, std::string> HallByName_;     ///< By balancer name.
+  std::map<BalancerId, SteadyTime> PlatformAnswerAt_; ///< In our data hall.
   std::vector<Succession> Successions_;
   ControlCounters Counters_;
   bool Leaving_ = false;
@@ -87,97 +87,97 @@
 ControlPlane::Impl::Impl(asio::io_context &Context, const Settings &Configured,
                          Incarnation Self, ControlHooks Hooks)
     : Settings_(Configured), Self_(Self), Hooks_(std::move(Hooks)),
-      Peers_(Context, Settings_.Control_, MaxControlMessage, linkHooks()),
+      Peers_(Context, Settings_.Control_, MaxControlMessageBytes, linkHooks()),
       Timer_(Context) {
-  schedule();
+  scheduleHeartbeat();
 }
 
 PeerLinkHooks ControlPlane::Impl::linkHooks() {
   PeerLinkHooks Result;
-  Result.OnOpen_ = [this](LinkId Which, const std::string &Target) {
-    onOpen(Which, Target);
+  Result.OnOpen_ = [this](LinkId Id, const std::string &Target) {
+    onOpen(Id, Target);
   };
-  Result.OnMessage_ = [this](LinkId Which, const std::string &Bytes) {
-    onMessage(Which, Bytes);
+  Result.OnMessage_ = [this](LinkId Id, const std::string &Bytes) {
+    onMessage(Id, Bytes);
   };
-  Result.OnClose_ = [this](LinkId Which) { Links_.erase(Which); };
+  Result.OnClose_ = [this](LinkId Id) { Links_.erase(Id); };
   Result.OnFailed_ = [this](const std::string &Target) {
     Connecting_.erase(Target);
   };
   return Result;
 }
 
-void ControlPlane::Impl::onOpen(LinkId Which, const std::string &Target) {
+void ControlPlane::Impl::onOpen(LinkId Id, const std::string &Target) {
   Connecting_.erase(Target);
-  Links_[Which] = Link{Target, ""};
-  send(Which, heartbeat());
+  Links_[Id] = Link{Target, ""};
+  send(Id, heartbeat());
   for (const Succession &S : Successions_)
-    send(Which, SuccessionSent{S});
+    send(Id, SuccessionMessage{S});
 }
 
-void ControlPlane::Impl::onMessage(LinkId Which, const std::string &Bytes) {
+void ControlPlane::Impl::onMessage(LinkId Id, const std::string &Bytes) {
   ControlMessage M;
   Counters_.BytesReceived_ += Bytes.size();
   if (decodeControl(Bytes, Settings_.Keys_, M) != ErrorKind::None) {
     ++Counters_.MessagesRefused_;
     return;
   }
-  std::visit([&](const auto &Typed) { receive(Which, Typed); }, M);
+  std::visit([&](const auto &Typed) { receive(Id, Typed); }, M);
 }
 
-void ControlPlane::Impl::receive(LinkId Which, const Heartbeat &M) {
+void ControlPlane::Impl::receive(LinkId Id, const Heartbeat &M) {
   if (M.Name_ == Settings_.Name_)
     return;
-  auto Known = Links_.find(Which);
-  if (Known != Links_.end())
-    Known->second.Peer_ = M.Name_;
-  closeSpareLink(Which, M.Name_);
-  learnWatchers(M);
+  auto It = Links_.find(Id);
+  if (It != Links_.end())
+    It->second.Peer_ = M.Name_;
+  closeDuplicateLink(Id, M.Name_);
+  mergeWatchers(M);
   Hooks_.OnHeartbeat_(M);
   bool Newer = false;
-  for (std::size_t K = 0; K < DocumentKinds; ++K)
-    if (Documents_[K].Which_ < M.Versions_[K]) {
+  for (std::size_t K = 0; K < DocumentKindCount; ++K)
+    if (Documents_[K].Version_ < M.Versions_[K]) {
       Newer = true;
-      send(Which, DocumentWanted{static_cast<DocumentKind>(K)});
+      send(Id, DocumentRequest{static_cast<DocumentKind>(K)});
     }
-  if (!Newer && M.Answers_ != 0)
-    Hooks_.OnConfirmed_(M.Answers_);
+  if (!Newer && M.RefreshId_ != 0)
+    Hooks_.OnConfirmed_(M.RefreshId_);
 }
 
-void ControlPlane::Impl::receive(LinkId Which, const FreshnessAsked &M) {
+void ControlPlane::Impl::receive(LinkId Id, const HeartbeatRequest &M) {
   Heartbeat Answer = heartbeat();
-  Answer.Answers_ = M.Asked_;
-  send(Which, Answer);
+  Answer.RefreshId_ = M.RefreshId_;
+  send(Id, Answer);
 }
 
-void ControlPlane::Impl::receive(LinkId Which, const DocumentWanted &M) {
+void ControlPlane::Impl::receive(LinkId Id, const DocumentRequest &M) {
   const Document &D = Documents_[raw(M.Kind_)];
-  if (D.Which_.Version_ != 0)
-    send(Which, DocumentSent{M.Kind_, D.Text_});
+  if (D.Version_.Version_ != 0)
+    send(Id, DocumentMessage{M.Kind_, D.Text_});
 }
 
-void ControlPlane::Impl::receive(LinkId, const DocumentSent &M) {
+void ControlPlane::Impl::receive(LinkId, const DocumentMessage &M) {
   Hooks_.OnDocument_(M.Kind_, M.Text_);
 }
 
-void ControlPlane::Impl::receive(LinkId, const SuccessionSent &M) {
+void ControlPlane::Impl::receive(LinkId, const SuccessionMessage &M) {
   for (const Succession &S : Successions_)
     if (S.Home_ == M.Succession_.Home_)
       return;
-  tell(M.Succession_); // each balancer passes it on once
+  broadcast(M.Succession_); // each balancer forwards it once
   Hooks_.OnSuccession_(M.Succession_);
 }
 
-void ControlPlane::Impl::send(LinkId Which, const ControlMessage &M) {
+void ControlPlane::Impl::send(LinkId Id, const ControlMessage &M) {
   std::string Bytes = encodeControl(M, Settings_.Keys_[0]);
-  Peers_.send(Which, Bytes);
+  Peers_.send(Id, Bytes);
   Counters_.BytesSent_ += Bytes.size();
   ++Counters_.MessagesSent_;
 }
 
 void ControlPlane::Impl::sendAll(const ControlMessage &M) {
-  for (const auto &[Which, L] : Links_)
-    send(Which, M);
+  for (const auto &[Id, L] : Links_)
+    send(Id, M);
 }
 
 Heartbeat ControlPlane::Impl::heartbeat() const {
@@ -186,18 +186,18 @@
   M.Data_ = Settings_.Data_;
   M.Incarnation_ = Self_;
   M.Leaving_ = Leaving_;
-  for (std::size_t K = 0; K < DocumentKinds; ++K)
-    M.Versions_[K] = Documents_[K].Which_;
-  M.Watchers_ = freshestWatchers();
+  for (std::size_t K = 0; K < DocumentKindCount; ++K)
+    M.Versions_[K] = Documents_[K].Version_;
+  M.Watchers_ = recentWatchers();
   return M;
 }
 
-std::vector<WatcherAge> ControlPlane::Impl::freshestWatchers() const {
+std::vector<WatcherAge> ControlPlane::Impl::recentWatchers() const {
   auto Now = std::chrono::steady_clock::now();
   std::vector<WatcherAge> Result;
-  for (const auto &[Watcher, At] : WatchedAt_) {
+  for (const auto &[Watcher, At] : PlatformAnswerAt_) {
     auto Age = std::chrono::duration_cast<std::chrono::milliseconds>(Now - At);
-    if (Age < SilentAfter)
+    if (Age < WatcherStaleAfter)
       Result.push_back({Watcher, static_cast<std::uint32_t>(Age.count())});
   }
   std::sort(Result.begin(), Result.end(),
@@ -208,37 +208,37 @@
   return Result;
 }
 
-void ControlPlane::Impl::learnWatchers(const Heartbeat &M) {
-  auto Hall = HallOf_.find(M.Name_);
-  if (Hall == HallOf_.end() || Hall->second != Settings_.DataHall_)
+void ControlPlane::Impl::mergeWatchers(const Heartbeat &M) {
+  auto Hall = HallByName_.find(M.Name_);
+  if (Hall == HallByName_.end() || Hall->second != Settings_.DataHall_)
     return;
   auto Now = std::chrono::steady_clock::now();
   for (const WatcherAge &W : M.Watchers_) {
     SteadyTime At = Now - std::chrono::milliseconds(W.AgeMs_);
-    SteadyTime &Known = WatchedAt_[W.Watcher_];
-    Known = std::max(Known, At);
+    SteadyTime &Latest = PlatformAnswerAt_[W.Watcher_];
+    Latest = std::max(Latest, At);
   }
 }
 
-bool ControlPlane::Impl::linkedTo(const std::string &Name,
-                                  const std::string &Target) const {
+bool ControlPlane::Impl::isLinkedTo(const std::string &Name,
+                                    const std::string &Target) const {
   if (Connecting_.count(Target) != 0)
     return true;
-  for (const auto &[Which, L] : Links_)
+  for (const auto &[Id, L] : Links_)
     if (L.Target_ == Target || (!Name.empty() && L.Peer_ == Name))
       return true;
   return false;
 }
 
-void ControlPlane::Impl::keepLinks() {
+void ControlPlane::Impl::openMissingLinks() {
   if (!Hosts_) {
     for (const Endpoint &Seed : Settings_.Seeds_)
-      if (!linkedTo("", formatEndpoint(Seed)))
+      if (!isLinkedTo("", formatEndpoint(Seed)))
         connect(formatEndpoint(Seed));
     return;
   }
-  for (const Host &H : Chosen_)
-    if (!linkedTo(H.Name_, formatEndpoint(H.Control_)))
+  for (const Host &H : ChosenPeers_)
+    if (!isLinkedTo(H.Name_, formatEndpoint(H.Control_)))
       connect(formatEndpoint(H.Control_));
 }
 
@@ -247,47 +247,49 @@
   Peers_.connect(Target);
 }
 
-/// Of two links between two balancers, the one that the later name opened goes.
-void ControlPlane::Impl::closeSpareLink(LinkId Which, const std::string &Peer) {
-  auto Known = Links_.find(Which);
-  bool Ours = Known != Links_.end() && !Known->second.Target_.empty();
+/// Closes this balancer's link to a peer if there is another one and the peer's
+/// name sorts first. The peer keeps its link, so that one of the two remains.
+void ControlPlane::Impl::closeDuplicateLink(LinkId Id,
+                                            const std::string &Peer) {
+  auto It = Links_.find(Id);
+  bool Ours = It != Links_.end() && !It->second.Target_.empty();
   auto Count =
       std::count_if(Links_.begin(), Links_.end(), [&](const auto &Item) {
         return Item.second.Peer_ == Peer;
       });
   if (!Ours || Count < 2 || Settings_.Name_ < Peer)
     return;
-  Peers_.close(Which);
+  Peers_.close(Id);
 }
 
-void ControlPlane::Impl::schedule() {
-  Timer_.expires_after(HeartbeatEvery);
+void ControlPlane::Impl::scheduleHeartbeat() {
+  Timer_.expires_after(HeartbeatInterval);
   Timer_.async_wait([this](const asio::error_code &Error) {
     if (Error)
       return;
-    keepLinks();
+    openMissingLinks();
     sendAll(heartbeat());
-    schedule();
+    scheduleHeartbeat();
   });
 }
 
 void ControlPlane::Impl::setHosts(HostListPtr Hosts) {
   Hosts_ = std::move(Hosts);
-  Chosen_ = choosePeers(*Hosts_, Settings_.Name_, Settings_.DataHall_,
-                        Settings_.PeerLinks_);
-  HallOf_.clear();
+  ChosenPeers_ = choosePeers(*Hosts_, Settings_.Name_, Settings_.DataHall_,
+                             Settings_.PeerLinks_);
+  HallByName_.clear();
   for (const Host &H : Hosts_->Hosts_)
-    HallOf_[H.Name_] = H.DataHall_;
-  keepLinks();
+    HallByName_[H.Name_] = H.DataHall_;
+  openMissingLinks();
 }
 
 void ControlPlane::Impl::setDocument(DocumentKind Kind,
-                                     const DocumentVersion &Which,
+                                     const DocumentVersion &NewVersion,
                                      std::string Text) {
   Document &D = Documents_[raw(Kind)];
-  if (!(D.Which_ < Which))
+  if (!(D.Version_ < NewVersion))
     return;
-  D = {Which, std::move(Text)};
+  D = {NewVersion, std::move(Text)};
   sendAll(heartbeat());
 }
 
@@ -296,28 +298,29 @@
   sendAll(heartbeat());
 }
 
-void ControlPlane::Impl::askFreshness(std::uint64_t Asked) {
-  sendAll(FreshnessAsked{Asked});
+void ControlPlane::Impl::requestHeartbeats(std::uint64_t RefreshId) {
+  sendAll(HeartbeatRequest{RefreshId});
 }
 
-void ControlPlane::Impl::tell(const Succession &S) {
-  if (Successions_.size() == MaxSuccessionsKept)
+void ControlPlane::Impl::broadcast(const Succession &S) {
+  if (Successions_.size() == MaxSuccessions)
     Successions_.erase(Successions_.begin());
   Successions_.push_back(S);
-  sendAll(SuccessionSent{S});
+  sendAll(SuccessionMessage{S});
 }
 
-void ControlPlane::Impl::noteWatched() {
-  WatchedAt_[static_cast<BalancerId>(nameId(Settings_.Name_))] =
+void ControlPlane::Impl::recordPlatformAnswer() {
+  PlatformAnswerAt_[static_cast<BalancerId>(nameId(Settings_.Name_))] =
       std::chrono::steady_clock::now();
 }
 
-std::vector<std::string> ControlPlane::Impl::silentWatchers() const {
+std::vector<std::string> ControlPlane::Impl::staleWatchers() const {
   auto Now = std::chrono::steady_clock::now();
   std::vector<std::string> Result;
-  for (const auto &[Name, Hall] : HallOf_) {
-    auto Known = WatchedAt_.find(static_cast<BalancerId>(nameId(Name)));
-    bool Fresh = Known != WatchedAt_.end() && Now - Known->second < SilentAfter;
+  for (const auto &[Name, Hall] : HallByName_) {
+    auto It = PlatformAnswerAt_.find(static_cast<BalancerId>(nameId(Name)));
+    bool Fresh =
+        It != PlatformAnswerAt_.end() && Now - It->second < WatcherStaleAfter;
     if (Hall == Settings_.DataHall_ && !Fresh)
       Result.push_back(Name);
   }
@@ -339,18 +342,19 @@
 void ControlPlane::setHosts(HostListPtr Hosts) {
   Impl_->setHosts(std::move(Hosts));
 }
-void ControlPlane::setDocument(DocumentKind Kind, const DocumentVersion &Which,
+void ControlPlane::setDocument(DocumentKind Kind,
+                               const DocumentVersion &NewVersion,
                                std::string Text) {
-  Impl_->setDocument(Kind, Which, std::move(Text));
+  Impl_->setDocument(Kind, NewVersion, std::move(Text));
 }
 void ControlPlane::setLeaving() { Impl_->setLeaving(); }
-void ControlPlane::askFreshness(std::uint64_t Asked) {
-  Impl_->askFreshness(Asked);
+void ControlPlane::requestHeartbeats(std::uint64_t RefreshId) {
+  Impl_->requestHeartbeats(RefreshId);
 }
-void ControlPlane::tell(const Succession &S) { Impl_->tell(S); }
-void ControlPlane::noteWatched() { Impl_->noteWatched(); }
-std::vector<std::string> ControlPlane::silentWatchers() const {
-  return Impl_->silentWatchers();
+void ControlPlane::broadcast(const Succession &S) { Impl_->broadcast(S); }
+void ControlPlane::recordPlatformAnswer() { Impl_->recordPlatformAnswer(); }
+std::vector<std::string> ControlPlane::staleWatchers() const {
+  return Impl_->staleWatchers();
 }
 ControlCounters ControlPlane::counters() const { return Impl_->counters(); }
 
--- a/src/control.cc
+++ b/src/control.cc
@@ -13,12 +13,12 @@
 constexpr std::size_t TagSize = crypto_shorthash_siphashx24_BYTES;
 constexpr std::size_t MaxSuccessors = 64;
 
-enum class Type : std::uint8_t {
+enum class MessageType : std::uint8_t {
   Heartbeat = 1,
-  Wanted,
-  Sent,
+  DocumentRequest,
+  Document,
   Succession,
-  Asked
+  HeartbeatRequest
 };
 
 Json toJson(const Heartbeat &M) {
@@ -28,36 +28,38 @@
   Json Watchers = Json::array();
   for (const WatcherAge &W : M.Watchers_)
     Watchers.push_back(Json::array({raw(W.Watcher_), W.AgeMs_}));
-  return {raw(Type::Heartbeat),
+  return {raw(MessageType::Heartbeat),
           M.Name_,
           formatEndpoint(M.Data_),
           raw(M.Incarnation_),
           M.Leaving_,
           Versions,
           Watchers,
-          M.Answers_};
+          M.RefreshId_};
 }
 
-Json toJson(const FreshnessAsked &M) { return {raw(Type::Asked), M.Asked_}; }
+Json toJson(const HeartbeatRequest &M) {
+  return {raw(MessageType::HeartbeatRequest), M.RefreshId_};
+}
 
-Json toJson(const DocumentWanted &M) {
-  return {raw(Type::Wanted), raw(M.Kind_)};
+Json toJson(const DocumentRequest &M) {
+  return {raw(MessageType::DocumentRequest), raw(M.Kind_)};
 }
 
-Json toJson(const DocumentSent &M) {
-  return {raw(Type::Sent), raw(M.Kind_), M.Text_};
+Json toJson(const DocumentMessage &M) {
+  return {raw(MessageType::Document), raw(M.Kind_), M.Text_};
 }
 
-Json toJson(const SuccessionSent &M) {
+Json toJson(const SuccessionMessage &M) {
   Json Successors = Json::array();
   for (const Successor &S : M.Succession_.Successors_)
     Successors.push_back({formatEndpoint(S.Data_), raw(S.Incarnation_)});
-  return {raw(Type::Succession), raw(M.Succession_.Home_),
+  return {raw(MessageType::Succession), raw(M.Succession_.Home_),
           M.Succession_.Fence_.time_since_epoch().count(), Successors};
 }
 
-/// Thrown inside this file only, for fields out of range; the library throws
-/// its own type for wrong shapes.
+/// Thrown for fields out of range. The JSON library throws its own exceptions
+/// for wrong types.
 struct OutOfRange : std::exception {};
 
 void require(bool Condition) {
@@ -73,7 +75,7 @@
 
 DocumentKind kindFrom(const Json &Value) {
   auto Number = Value.get<std::uint8_t>();
-  require(Number < DocumentKinds);
+  require(Number < DocumentKindCount);
   return static_cast<DocumentKind>(Number);
 }
 
@@ -83,7 +85,7 @@
   M.Data_ = endpointFrom(J.at(2));
   M.Incarnation_ = static_cast<Incarnation>(J.at(3).get<std::uint64_t>());
   M.Leaving_ = J.at(4).get<bool>();
-  for (std::size_t I = 0; I < DocumentKinds; ++I)
+  for (std::size_t I = 0; I < DocumentKindCount; ++I)
     M.Versions_[I] = {J.at(5).at(I).at(0).get<Version>(),
                       J.at(5).at(I).at(1).get<std::uint64_t>()};
   require(J.at(6).is_array() && J.at(6).size() <= MaxWatcherAges);
@@ -91,7 +93,7 @@
     M.Watchers_.push_back(
         {static_cast<BalancerId>(Item.at(0).get<std::uint32_t>()),
          Item.at(1).get<std::uint32_t>()});
-  M.Answers_ = J.at(7).get<std::uint64_t>();
+  M.RefreshId_ = J.at(7).get<std::uint64_t>();
   return M;
 }
 
@@ -106,21 +108,21 @@
     S.Successors_.push_back(
         {endpointFrom(Item.at(0)),
          static_cast<Incarnation>(Item.at(1).get<std::uint64_t>())});
-  return SuccessionSent{S};
+  return SuccessionMessage{S};
 }
 
 ControlMessage fromJson(const Json &J) {
-  switch (static_cast<Type>(J.at(0).get<std::uint8_t>())) {
-  case Type::Heartbeat:
+  switch (static_cast<MessageType>(J.at(0).get<std::uint8_t>())) {
+  case MessageType::Heartbeat:
     return heartbeatFrom(J);
-  case Type::Wanted:
-    return DocumentWanted{kindFrom(J.at(1))};
-  case Type::Sent:
-    return DocumentSent{kindFrom(J.at(1)), J.at(2).get<std::string>()};
-  case Type::Succession:
+  case MessageType::DocumentRequest:
+    return DocumentRequest{kindFrom(J.at(1))};
+  case MessageType::Document:
+    return DocumentMessage{kindFrom(J.at(1)), J.at(2).get<std::string>()};
+  case MessageType::Succession:
     return successionFrom(J);
-  case Type::Asked:
-    return FreshnessAsked{J.at(1).get<std::uint64_t>()};
+  case MessageType::HeartbeatRequest:
+    return HeartbeatRequest{J.at(1).get<std::uint64_t>()};
   }
   throw OutOfRange();
 }
@@ -131,8 +133,8 @@
       Tag, reinterpret_cast<const unsigned char *>(Data), Size, Secret.data());
 }
 
-/// Balancers that stay, by falling rendezvous score for \p Self.
-std::vector<Host> ranked(const HostList &Hosts, std::uint64_t Salt) {
+/// Returns the balancers that are not leaving, by descending rendezvous score.
+std::vector<Host> rankBalancers(const HostList &Hosts, std::uint64_t Salt) {
   std::vector<Host> Result;
   for (const Host &H : Hosts.Hosts_)
     if (H.Role_ == Host::Role::Balancer && !H.Leaving_)
@@ -159,17 +161,17 @@
 ErrorKind decodeControl(const std::string &Bytes,
                         const std::array<SecretKey, 2> &Keys,
                         ControlMessage &M) {
-  if (Bytes.size() > MaxControlMessage)
+  if (Bytes.size() > MaxControlMessageBytes)
     return ErrorKind::Oversized;
   if (Bytes.size() <= TagSize)
     return ErrorKind::Malformed;
-  bool Known = false;
+  bool TagMatches = false;
   for (const SecretKey &Secret : Keys) {
     unsigned char Tag[TagSize];
     makeTag(Bytes.data() + TagSize, Bytes.size() - TagSize, Secret, Tag);
-    Known = Known || sodium_memcmp(Tag, Bytes.data(), TagSize) == 0;
+    TagMatches = TagMatches || sodium_memcmp(Tag, Bytes.data(), TagSize) == 0;
   }
-  if (!Known)
+  if (!TagMatches)
     return ErrorKind::BadTag;
   try {
     M = fromJson(Json::from_cbor(Bytes.begin() + TagSize, Bytes.end()));
@@ -181,31 +183,30 @@
 
 std::vector<Host> choosePeers(const HostList &Hosts, const std::string &Self,
                               const std::string &DataHall, std::size_t Limit) {
-  std::vector<Host> Near;
-  std::vector<Host> Far;
-  for (Host &H : ranked(Hosts, nameId(Self)))
+  std::vector<Host> SameHall;
+  std::vector<Host> OtherHalls;
+  for (Host &H : rankBalancers(Hosts, nameId(Self)))
     if (H.Name_ != Self)
-      (H.DataHall_ == DataHall ? Near : Far).push_back(std::move(H));
-  std::size_t FarShare = std::min(Far.size(), (Limit + 1) / 2);
-  std::size_t NearShare = std::min(Near.size(), Limit - FarShare);
-  FarShare = std::min(Far.size(), Limit - NearShare);
-  std::vector<Host> Result(Near.begin(),
-                           Near.begin() + static_cast<long>(NearShare));
-  Result.insert(Result.end(), Far.begin(),
-                Far.begin() + static_cast<long>(FarShare));
+      (H.DataHall_ == DataHall ? SameHall : OtherHalls).push_back(std::move(H));
+  std::size_t OtherCount = std::min(OtherHalls.size(), (Limit + 1) / 2);
+  std::size_t SameCount = std::min(SameHall.size(), Limit - OtherCount);
+  OtherCount = std::min(OtherHalls.size(), Limit - SameCount);
+  std::vector<Host> Result(SameHall.begin(),
+                           SameHall.begin() + static_cast<long>(SameCount));
+  Result.insert(Result.end(), OtherHalls.begin(),
+                OtherHalls.begin() + static_cast<long>(OtherCount));
   return Result;
 }
 
 bool watchesPlatform(const HostList &Hosts, const std::string &Self,
                      const std::string &DataHall, std::size_t PerHall,
-                     const std::vector<std::string> &Silent) {
+                     const std::vector<std::string> &Stale) {
   std::size_t Rank = 0;
-  for (const Host &H : ranked(Hosts, nameId(DataHall))) {
+  for (const Host &H : rankBalancers(Hosts, nameId(DataHall))) {
     if (H.Name_ == Self)
       return Rank < PerHall;
-    bool Heard =
-        std::find(Silent.begin(), Silent.end(), H.Name_) == Silent.end();
-    if (H.DataHall_ == DataHall && Heard)
+    bool Recent = std::find(Stale.begin(), Stale.end(), H.Name_) == Stale.end();
+    if (H.DataHall_ == DataHall && Recent)
       ++Rank;
   }
   return true; // not listed yet
--- a/src/packet-balancer-addresses.cc
+++ b/src/packet-balancer-addresses.cc
@@ -43,7 +43,7 @@
                                        std::uint32_t Previous) const {
   const UpstreamState &NewState = UpstreamStates_[Index];
   const UpstreamState &OldState = UpstreamStates_[Previous];
-  if (!Routing_ || !Routing_->names(NewState.Service_))
+  if (!Routing_ || !Routing_->knowsService(NewState.Service_))
     return false;
   if (NewState.BornMs_ != 0 && OldState.BornMs_ != 0)
     return NewState.BornMs_ > OldState.BornMs_;
--- a/src/packet-balancer-impl.h
+++ b/src/packet-balancer-impl.h
@@ -58,7 +58,7 @@
   void tick(MonoTime Now);
   void setFleet(FleetView View) { ColdAdmission_.setFleet(std::move(View)); }
   bool hasColdLimits() const {
-    return Routing_ && !Routing_->ColdPerSecond_.empty();
+    return Routing_ && !Routing_->ColdFlowsPerSecond_.empty();
   }
   void setLimits(Micros MaxStalenessForReset, Micros MaxFlowAge,
                  double ColdOver, double ColdSlack) {
--- a/src/packet-balancer.cc
+++ b/src/packet-balancer.cc
@@ -47,7 +47,7 @@
 Verdict PacketBalancer::Impl::refuse(const Packet &P, ErrorKind Error) {
   ++Counters_.Errors_[static_cast<std::size_t>(Error)];
   reportDecision(Decision::Kind::Refused, P, UpstreamTable::None, Error, 0);
-  bool Resets = errorRow(Error).Answer_ == Answer::Reset && !P.Resets_;
+  bool Resets = errorRow(Error).Response_ == ErrorResponse::Reset && !P.Resets_;
   if (!Resets)
     return Dropped{Error};
   ++Counters_.Resets_;
@@ -65,7 +65,7 @@
     if (Now_ - Row->Since_ >= openingTimeout())
       recordUnansweredOpening(Previous);
   }
-  ServiceId Service = drawService(Shares, Flow);
+  ServiceId Service = chooseService(Shares, Flow);
   std::uint32_t Index = choose(Service, Flow, Attempt, Previous);
   if (Index == UpstreamTable::None)
     return refuse(P, noCandidateError(Service));
@@ -113,7 +113,7 @@
   if (Serving_)
     recordUnansweredOpening(Previous);
   std::uint32_t Index =
-      choose(drawService(*Shares, Flow), Flow, RetryDraw, Previous);
+      choose(chooseService(*Shares, Flow), Flow, RetryDraw, Previous);
   if (Index == UpstreamTable::None || Index == Previous)
     return Dropped{};
   ++Counters_.OpenRetried_;
@@ -180,7 +180,7 @@
 ColdLimit PacketBalancer::Impl::coldLimit(ServiceId Service) const {
   ColdLimit Limit = Options_.Cold_;
   bool LimitEnabled = detail::isEnabled(detail::Mechanism::ColdLimits);
-  Limit.PerSecond_ = LimitEnabled ? Routing_->coldPerSecond(Service) : 0;
+  Limit.PerSecond_ = LimitEnabled ? Routing_->coldFlowsPerSecond(Service) : 0;
   return Limit;
 }
 
--- a/src/packet-log.cc
+++ b/src/packet-log.cc
@@ -83,7 +83,7 @@
     const ErrorRow &Row = errorRow(D.Error_);
     Fields.emplace_back("reason", Row.Name_);
     Fields.emplace_back("answer",
-                        Row.Answer_ == Answer::Reset ? "reset" : "none");
+                        Row.Response_ == ErrorResponse::Reset ? "reset" : "none");
   } else {
     Fields.emplace_back("upstream", formatIncarnation(D.Upstream_));
   }
--- a/src/platform-client.cc
+++ b/src/platform-client.cc
@@ -15,11 +15,11 @@
 
 using namespace std::chrono_literals;
 
-constexpr auto WatchFor = 5s;
-constexpr std::chrono::milliseconds RetryAfter = 300ms;
-constexpr auto TakenWithin = 200ms;
-const char *const Paths[DocumentKinds] = {"/v1/watch/declaration",
-                                          "/v1/watch/hosts"};
+constexpr auto WatchTimeout = 5s;
+constexpr std::chrono::milliseconds MinRetryDelay = 300ms;
+constexpr auto HandlerTimeout = 200ms;
+const char *const Paths[DocumentKindCount] = {"/v1/watch/declaration",
+                                              "/v1/watch/hosts"};
 
 } // namespace
 
@@ -28,10 +28,10 @@
   Impl(asio::io_context &Context, const Endpoint &Platform, Handler OnAnswer)
       : Context_(Context), OnAnswer_(std::move(OnAnswer)) {
     std::string Url = "http://" + formatEndpoint(Platform);
-    for (std::size_t K = 0; K < DocumentKinds; ++K) {
+    for (std::size_t K = 0; K < DocumentKindCount; ++K) {
       Clients_[K] = std::make_unique<httplib::Client>(Url);
       Clients_[K]->set_connection_timeout(1s);
-      Clients_[K]->set_read_timeout(WatchFor + 2s);
+      Clients_[K]->set_read_timeout(WatchTimeout + 2s);
       Threads_[K] = std::thread([this, K] { run(K); });
     }
   }
@@ -39,7 +39,7 @@
   ~Impl() {
     {
       std::lock_guard<std::mutex> Guard(Mutex_);
-      Ending_ = true;
+      Stopping_ = true;
     }
     Changed_.notify_all();
     for (auto &Client : Clients_)
@@ -48,10 +48,12 @@
       T.join();
   }
 
-  void setKnown(std::size_t Kind, Version Known) { Known_[Kind] = Known; }
+  void setKnownVersion(std::size_t Kind, Version Known) {
+    KnownVersions_[Kind] = Known;
+  }
 
-  void setLongestPause(std::chrono::milliseconds Pause) {
-    LongestPauseMs_ = std::max(Pause, RetryAfter).count();
+  void setMaxRetryDelay(std::chrono::milliseconds Delay) {
+    MaxRetryDelayMs_ = std::max(Delay, MinRetryDelay).count();
   }
 
   void setWatching(bool Watching) {
@@ -62,56 +64,60 @@
     Changed_.notify_all();
   }
 
-  void readNow(std::uint64_t Asked) {
-    Asked_ = Asked;
+  void readNow(std::uint64_t RefreshId) {
+    RefreshId_ = RefreshId;
     {
       std::lock_guard<std::mutex> Guard(Mutex_);
-      ReadNow_.fill(true);
+      ReadPending_.fill(true);
     }
     Changed_.notify_all();
     for (auto &Client : Clients_)
-      Client->stop(); // ends a watch that began before
+      Client->stop(); // aborts a long poll in progress
   }
 
   std::uint64_t calls() const { return Calls_; }
 
 private:
-  /// Takes the next piece of work; false at the end.
-  bool next(std::size_t Kind, bool &Wait) {
+  /// Blocks until a call is due and sets \p LongPoll to its kind. Returns false
+  /// when the client stops.
+  bool waitForWork(std::size_t Kind, bool &LongPoll) {
     std::unique_lock<std::mutex> Guard(Mutex_);
     Changed_.wait(Guard,
-                  [&] { return Ending_ || Watching_ || ReadNow_[Kind]; });
-    Wait = !ReadNow_[Kind];
-    ReadNow_[Kind] = false;
-    return !Ending_;
+                  [&] { return Stopping_ || Watching_ || ReadPending_[Kind]; });
+    LongPoll = !ReadPending_[Kind];
+    ReadPending_[Kind] = false;
+    return !Stopping_;
   }
 
   void run(std::size_t Kind) {
-    bool Wait = false;
-    auto Pause = RetryAfter;
+    bool LongPoll = false;
+    auto Delay = MinRetryDelay;
     std::minstd_rand Random(std::random_device{}());
-    while (next(Kind, Wait)) {
-      if (call(Kind, Wait)) {
-        Pause = RetryAfter;
+    while (waitForWork(Kind, LongPoll)) {
+      if (call(Kind, LongPoll)) {
+        Delay = MinRetryDelay;
         continue;
       }
       std::unique_lock<std::mutex> Guard(Mutex_);
-      ReadNow_[Kind] = ReadNow_[Kind] || !Wait; // a failed read is repeated
-      std::uniform_real_distribution<double> Spread(0.5, 1);
-      Changed_.wait_for(Guard, Pause * Spread(Random),
-                        [&] { return Ending_ || Asked_ != Heeded_[Kind]; });
-      Heeded_[Kind] = Asked_;
-      Pause = std::min(Pause * 2, std::chrono::milliseconds(LongestPauseMs_));
+      // A failed read stays pending.
+      ReadPending_[Kind] = ReadPending_[Kind] || !LongPoll;
+      std::uniform_real_distribution<double> Jitter(0.5, 1);
+      Changed_.wait_for(Guard, Delay * Jitter(Random), [&] {
+        return Stopping_ || RefreshId_ != HandledRefreshIds_[Kind];
+      });
+      HandledRefreshIds_[Kind] = RefreshId_;
+      Delay = std::min(Delay * 2, std::chrono::milliseconds(MaxRetryDelayMs_));
     }
   }
 
-  bool call(std::size_t Kind, bool Wait) {
+  bool call(std::size_t Kind, bool LongPoll) {
     ++Calls_;
     PlatformAnswer Answer;
-    Answer.Asked_ = Asked_;
-    auto WaitMs = std::chrono::milliseconds(Wait ? WatchFor : 0s).count();
+    Answer.RefreshId_ = RefreshId_;
+    auto WaitMs =
+        std::chrono::milliseconds(LongPoll ? WatchTimeout : 0s).count();
     std::string Path = std::string(Paths[Kind]) +
-                       "?after=" + std::to_string(Known_[Kind]) +
+                       "?after=" + std::to_string(KnownVersions_[Kind]) +
                        "&wait_ms=" + std::to_string(WaitMs);
     auto Result = Clients_[Kind]->Get(Path.c_str());
     if (!Result || (Result->status != 200 && Result->status != 204))
@@ -119,53 +125,57 @@
     Answer.Kind_ = static_cast<DocumentKind>(Kind);
     if (Result->status == 200)
       Answer.Text_ = Result->body;
-    // The next call asks from the version that this answer brings, so it waits
-    // until the answer has been taken in.
-    auto Taken = std::make_shared<std::promise<void>>();
-    asio::post(Context_, [this, Answer, Taken] {
+    // Waits for the handler, which sets the known version for the next call.
+    auto Handled = std::make_shared<std::promise<void>>();
+    asio::post(Context_, [this, Answer, Handled] {
       OnAnswer_(Answer);
-      Taken->set_value();
+      Handled->set_value();
     });
-    Taken->get_future().wait_for(TakenWithin);
-    // A version that is refused stays unknown and so is sent again: then ask
-    // no faster than after a failure.
-    bool Repeated = Result->status == 200 && Result->body == Last_[Kind];
+    Handled->get_future().wait_for(HandlerTimeout);
+    // A document that the handler rejected is sent again at once in every long
+    // poll. This is reported as a failure, so that the next call is delayed.
+    bool Repeated = Result->status == 200 && Result->body == LastBodies_[Kind];
     if (Result->status == 200)
-      Last_[Kind] = std::move(Result->body);
-    return !Repeated || !Wait;
+      LastBodies_[Kind] = std::move(Result->body);
+    return !Repeated || !LongPoll;
   }
 
   asio::io_context &Context_;
   Handler OnAnswer_;
-  std::array<std::unique_ptr<httplib::Client>, DocumentKinds> Clients_;
-  std::array<std::string, DocumentKinds> Last_; ///< Own thread's only.
-  std::array<std::atomic<Version>, DocumentKinds> Known_{};
+  std::array<std::unique_ptr<httplib::Client>, DocumentKindCount> Clients_;
+  std::array<std::string, DocumentKindCount>
+      LastBodies_; ///< Each used by its own thread only.
+  std::array<std::atomic<Version>, DocumentKindCount> KnownVersions_{};
   std::atomic<std::uint64_t> Calls_{0};
-  std::atomic<std::uint64_t> Asked_{0};
-  std::atomic<std::int64_t> LongestPauseMs_{RetryAfter.count()};
-  std::array<std::uint64_t, DocumentKinds> Heeded_{}; ///< Guarded.
+  std::atomic<std::uint64_t> RefreshId_{0};
+  std::atomic<std::int64_t> MaxRetryDelayMs_{MinRetryDelay.count()};
+  std::array<std::uint64_t, DocumentKindCount> HandledRefreshIds_{};
+  /// Guards `HandledRefreshIds_`, `ReadPending_`, `Watching_` and `Stopping_`.
   std::mutex Mutex_;
   std::condition_variable Changed_;
-  std::array<bool, DocumentKinds> ReadNow_{true, true};
+  std::array<bool, DocumentKindCount> ReadPending_{true, true};
   bool Watching_ = false;
-  bool Ending_ = false;
-  std::array<std::thread, DocumentKinds> Threads_; ///< Start last.
+  bool Stopping_ = false;
+  std::array<std::thread, DocumentKindCount>
+      Threads_; ///< Last, as the threads use the other members.
 };
 
 PlatformClient::PlatformClient(asio::io_context &Context,
                                const Endpoint &Platform, Handler OnAnswer)
     : Impl_(std::make_unique<Impl>(Context, Platform, std::move(OnAnswer))) {}
 PlatformClient::~PlatformClient() = default;
-void PlatformClient::setKnown(DocumentKind Kind, Version Known) {
-  Impl_->setKnown(raw(Kind), Known);
+void PlatformClient::setKnownVersion(DocumentKind Kind, Version Known) {
+  Impl_->setKnownVersion(raw(Kind), Known);
 }
 void PlatformClient::setWatching(bool Watching) {
   Impl_->setWatching(Watching);
 }
-void PlatformClient::setLongestPause(std::chrono::milliseconds Pause) {
-  Impl_->setLongestPause(Pause);
+void PlatformClient::setMaxRetryDelay(std::chrono::milliseconds Delay) {
+  Impl_->setMaxRetryDelay(Delay);
+}
+void PlatformClient::readNow(std::uint64_t RefreshId) {
+  Impl_->readNow(RefreshId);
 }
-void PlatformClient::readNow(std::uint64_t Asked) { Impl_->readNow(Asked); }
 std::uint64_t PlatformClient::calls() const { return Impl_->calls(); }
 
 } // namespace thymewall::detail
--- a/src/status-page.cc
+++ b/src/status-page.cc
@@ -7,13 +7,13 @@
 namespace {
 
 using Json = nlohmann::json;
-using Number = std::pair<std::string, std::uint64_t>;
+using NamedValue = std::pair<std::string, std::uint64_t>;
 
-/// Every counter with its name, once, for both renderings.
-std::vector<Number> numbers(const StatusReport &R) {
+/// Returns all counters by name, for both the JSON and the metrics page.
+std::vector<NamedValue> counterValues(const StatusReport &R) {
   const Counters &C = R.Counters_;
   static const char *const StepNames[] = {"route", "home", "passed", "refused"};
-  std::vector<Number> Result = {
+  std::vector<NamedValue> Result = {
       {"flows", R.Status_.Flows_},
       {"requests_in_progress", R.Status_.Requests_},
       {"passes_in_progress", R.Status_.PendingForwards_},
@@ -36,11 +36,11 @@
     Result.emplace_back(
         "error_" + std::string(errorRow(static_cast<ErrorKind>(I)).Name_),
         C.Errors_[I]);
-  Result.insert(Result.end(), R.Numbers_.begin(), R.Numbers_.end());
+  Result.insert(Result.end(), R.ProcessCounters_.begin(), R.ProcessCounters_.end());
   return Result;
 }
 
-std::string nameOf(const StatusReport &R, UpstreamId Id) {
+std::string upstreamName(const StatusReport &R, UpstreamId Id) {
   if (R.Declaration_)
     for (const Upstream &U : R.Declaration_->Upstreams_)
       if (U.Id_ == Id)
@@ -53,7 +53,7 @@
 std::string statusJson(const StatusReport &R) {
   Json Upstreams = Json::array();
   for (const UpstreamRow &U : R.Status_.Upstreams_)
-    Upstreams.push_back({{"name", nameOf(R, U.Id_)},
+    Upstreams.push_back({{"name", upstreamName(R, U.Id_)},
                          {"address", formatEndpoint(U.At_)},
                          {"own_flows", U.OwnFlows_},
                          {"in_flight", U.InFlight_},
@@ -62,22 +62,22 @@
                          {"leaving", U.Leaving_},
                          {"ejected", U.EjectedUntil_ > R.Status_.Now_},
                          {"failures", U.ConsecutiveFailures_}});
-  Json Numbers = Json::object();
-  for (const Number &N : numbers(R))
-    Numbers[N.first] = N.second;
+  Json Values = Json::object();
+  for (const NamedValue &N : counterValues(R))
+    Values[N.first] = N.second;
   Json Page = {{"name", R.Name_},
                {"version", R.Status_.DeclarationVersion_},
                {"digest", R.Status_.Digest_},
                {"ready", R.Status_.Ready_},
                {"stopping", R.Status_.Stopping_},
-               {"counters", std::move(Numbers)},
+               {"counters", std::move(Values)},
                {"upstreams", std::move(Upstreams)}};
   return Page.dump();
 }
 
 std::string metricsText(const StatusReport &R) {
   std::string Text;
-  for (const Number &N : numbers(R))
+  for (const NamedValue &N : counterValues(R))
     Text += metricLine(N.first, static_cast<std::int64_t>(N.second));
   Text += metricLine("version",
                      static_cast<std::int64_t>(R.Status_.DeclarationVersion_));
--- a/src/upstream-table.cc
+++ b/src/upstream-table.cc
@@ -114,7 +114,7 @@
     MonoTime WarmAt = HasDeclaration_ ? Now + SlowStartDuration : Now;
     if (Known != None)
       WarmAt = Rows_[Known].WarmAt_;
-    std::uint32_t Index = addOrUpdate(U.Id_, U.At_, U.Slots_, WarmAt);
+    std::uint32_t Index = addOrUpdate(U.Id_, U.Address_, U.Slots_, WarmAt);
     Rows_[Index].RemembersRequests_ = U.RemembersRequests_;
   }
   HasDeclaration_ = true;
--- a/test/balancer-harness.h
+++ b/test/balancer-harness.h
@@ -19,7 +19,7 @@
 const SecretKey Secret = {1, 2, 3};
 inline const ServiceId IndexService = static_cast<ServiceId>(nameId("index"));
 
-inline ZoneClock noZones() {
+inline TimeZoneClock noZones() {
   return [](const std::string &, WallTime) { return LocalMinute{}; };
 }
 
@@ -131,8 +131,8 @@
   Balancer Core_;
   ActionSink Sink_;
   Micros Now_ = std::chrono::seconds(1000);
-  SealedRoute Route_;
-  SealedRoute LastRoute_;
+  SignedRoute Route_;
+  SignedRoute LastRoute_;
   std::optional<ToCaller> LastToCaller_;
   std::optional<ToUpstream> LastToUpstream_;
   std::optional<ToPeer> LastToPeer_;
--- a/test/balancer-test.cc
+++ b/test/balancer-test.cc
@@ -152,7 +152,7 @@
   B.fromCaller(M);
   CHECK(B.LastToCaller_->Message_.Reason_ == ErrorKind::RouteRequired);
   CHECK(!notRun(B));
-  SealedRoute Forged = B.Route_;
+  SignedRoute Forged = B.Route_;
   Forged.Bytes_[10] ^= 1;
   M.Route_ = Forged.bytes();
   int RepliesBefore = B.ToCallerCount_;
--- a/test/cold-admission-test.cc
+++ b/test/cold-admission-test.cc
@@ -36,7 +36,7 @@
 RoutingTablePtr limited(Version V, double PerSecond) {
   auto Table = std::make_shared<RoutingTable>(
       *routingTable(V, {{IndexAddress, IndexService}}));
-  Table->ColdPerSecond_[raw(IndexService)] = PerSecond;
+  Table->ColdFlowsPerSecond_[raw(IndexService)] = PerSecond;
   return Table;
 }
 
--- a/test/fleet.h
+++ b/test/fleet.h
@@ -127,13 +127,13 @@
     FlowId Flow_{};
     ServiceId Service_{};
     Endpoint At_;
-    SealedRoute Route_;
+    SignedRoute Route_;
     bool Open_ = false;
     bool RequestPending_ = false;
     std::uint32_t RequestNumber_ = 0;
     std::uint64_t PayloadId_ = 0;
     bool AtMostOnce_ = false;
-    SealedRoute SentRoute_;
+    SignedRoute SentRoute_;
     Time Deadline_{};
     /// Run number of each part by attempt; attempts may arrive interleaved.
     std::map<std::uint64_t, std::map<std::uint16_t, std::uint64_t>> Parts_;
--- a/test/news-fleet.cc
+++ b/test/news-fleet.cc
@@ -214,7 +214,7 @@
 }
 
 void GossipFleet::connect(std::size_t From, const Endpoint &Control) {
-  std::size_t To = Control.Address_[14] * 256U + Control.Address_[15] - 1U;
+  std::size_t To = Control.Ip_[14] * 256U + Control.Ip_[15] - 1U;
   std::uint64_t StartCount = Nodes_[From].StartCount_;
   Events_.after(2 * LinkDelay, [this, From, To, Control, StartCount] {
     Node &Local = Nodes_[From];
--- a/test/news-test.cc
+++ b/test/news-test.cc
@@ -223,7 +223,7 @@
 TEST_CASE("evacuated halls and limits of cold upstreams survive encoding") {
   auto Table = std::make_shared<RoutingTable>();
   Table->Version_ = 3;
-  Table->ColdPerSecond_[7] = 2.5;
+  Table->ColdFlowsPerSecond_[7] = 2.5;
   StateUpdate Sent;
   Sent.Routing_ = Table;
   Sent.Evacuations_ = {true, 9, {{"hall-a", 4, true}, {"hall-b", 9, true}}};
@@ -231,7 +231,7 @@
   REQUIRE(decodeGossip(encodeGossip(Sent, MonoTime{}), MonoTime{}, Out) ==
           ErrorKind::None);
   const StateUpdate &Received = std::get<StateUpdate>(Out);
-  CHECK(Received.Routing_->coldPerSecond(ServiceId{7}) == 2.5);
+  CHECK(Received.Routing_->coldFlowsPerSecond(ServiceId{7}) == 2.5);
   CHECK(Received.Evacuations_.Whole_);
   CHECK(Received.Evacuations_.Through_ == 9);
   CHECK(Received.Evacuations_.Changes_ == Sent.Evacuations_.Changes_);
@@ -274,7 +274,7 @@
   CHECK(Got.Routing_->Version_ == 7);
   CHECK(*Got.Routing_->find(Endpoint::v4(1, 2)) ==
         std::vector<ServiceShare>{{ServiceId{3}, 4}});
-  CHECK(Got.Routing_->nameOf(static_cast<ServiceId>(nameId("index"))) ==
+  CHECK(Got.Routing_->serviceName(static_cast<ServiceId>(nameId("index"))) ==
         "index");
   CHECK(Got.Upstreams_.Changes_[1].Entry_ == E);
   CHECK(Got.Upstreams_.Changes_[2].Entry_ == Six);
