--- a/include/thymewall/route.h
+++ b/include/thymewall/route.h
@@ -18,7 +18,7 @@
   Endpoint UpstreamAddress_;
   Incarnation UpstreamIncarnation_{};
   Version PlacedVersion_ = 0; ///< Declaration under which the flow was placed.
-  Endpoint HomeAddress_;    ///< Data address of the home balancer.
+  Endpoint HomeAddress_;      ///< Data address of the home balancer.
   Incarnation HomeIncarnation_{};
   std::uint32_t Epoch_ = 0; ///< Number of the flow's insertion at its home.
 };
@@ -44,7 +44,7 @@
 ///   Route R;
 ///   ErrorKind E = verifyRoute(M.Route_, Keys, Service, M.Flow_, R);
 ErrorKind verifyRoute(Bytes Signed, const KeyPair &Keys, ServiceId Service,
-               FlowId Flow, Route &R);
+                      FlowId Flow, Route &R);
 
 } // namespace thymewall
 
--- a/src/balancer-caller.cc
+++ b/src/balancer-caller.cc
@@ -213,7 +213,8 @@
 
 bool Balancer::Impl::overloaded(const ServiceState &S,
                                 const UpstreamRow &U) const {
-  return U.InFlight_ >= std::uint64_t{S.Service_.MaxInFlightPerSlot_} * U.Slots_;
+  return U.InFlight_ >=
+         std::uint64_t{S.Service_.MaxInFlightPerSlot_} * U.Slots_;
 }
 
 /// Dispatches a repeatable request. Other balancers may dispatch copies of it,
@@ -314,7 +315,8 @@
 }
 
 void Balancer::Impl::refuseRow(const RequestRow &Row, ErrorKind Reason,
-                               ErrorResponse StrongestAnswer, WallTime RetryAt) {
+                               ErrorResponse StrongestAnswer,
+                               WallTime RetryAt) {
   Message M;
   M.Service_ = Row.Key_.Service_;
   M.Flow_ = Row.Key_.Flow_;
--- a/src/balancer-home.cc
+++ b/src/balancer-home.cc
@@ -135,7 +135,8 @@
   bool SoleCopy = !Used && !Replays;
   if (!Used && Origin == RequestOrigin::Own && hasNamedSuccessors())
     return delegate(M, R, PeerMessageKind::Delegated);
-  ErrorResponse StrongestAnswer = SoleCopy ? ErrorResponse::NotRun : ErrorResponse::OutcomeUnknown;
+  ErrorResponse StrongestAnswer =
+      SoleCopy ? ErrorResponse::NotRun : ErrorResponse::OutcomeUnknown;
   if (Closed || resolveUpstream(R) != Index)
     return refuse(M, ErrorKind::FlowUnknown, StrongestAnswer);
   if (M.Deadline_ != WallTime{} && M.Deadline_ <= Now_.Wall_)
@@ -187,8 +188,8 @@
 void Balancer::Impl::abandonForward(ForwardRow &Row, ErrorKind Reason) {
   Message M = Row.message();
   Route R;
-  if (thymewall::verifyRoute(M.Route_, Options_.Keys_, M.Service_, M.Flow_, R) ==
-      ErrorKind::None) {
+  if (thymewall::verifyRoute(M.Route_, Options_.Keys_, M.Service_, M.Flow_,
+                             R) == ErrorKind::None) {
     if (Row.Kind_ == PeerMessageKind::Forwarded &&
         Row.Destination_ == R.HomeAddress_)
       markSuspect(R.HomeIncarnation_);
--- a/src/balancer-impl.h
+++ b/src/balancer-impl.h
@@ -132,7 +132,9 @@
   void completeRequest(RequestRow &Row);
 
   // Homes (balancer-home.cc).
-  bool isHome(const Route &R) const { return R.HomeIncarnation_ == Options_.Incarnation_; }
+  bool isHome(const Route &R) const {
+    return R.HomeIncarnation_ == Options_.Incarnation_;
+  }
   FlowRow *createFlow(const FlowKey &Key, std::uint32_t Upstream);
   FlowRow *findOrCreateFlow(const FlowKey &Key, std::uint32_t Upstream);
   void refreshIdleTimeout(FlowRow &Row);
--- a/src/balancer-process.cc
+++ b/src/balancer-process.cc
@@ -68,14 +68,13 @@
 
 private:
   using DatagramHandler = void (Impl::*)(const Endpoint &, const std::uint8_t *,
-                                  std::size_t);
+                                         std::size_t);
   UdpSocket::Receiver receiver(DatagramHandler Function);
   void onUpstream(const Endpoint &From, const std::uint8_t *Data,
-                    std::size_t Size);
-  void onPeer(const Endpoint &From, const std::uint8_t *Data,
-                std::size_t Size);
+                  std::size_t Size);
+  void onPeer(const Endpoint &From, const std::uint8_t *Data, std::size_t Size);
   void onCaller(ServiceId Service, const Endpoint &From,
-                  const std::uint8_t *Data, std::size_t Size);
+                const std::uint8_t *Data, std::size_t Size);
   /// Counts a decoding error; returns true if there was none.
   bool checkDecoded(ErrorKind Decoded) {
     if (Decoded != ErrorKind::None)
@@ -134,9 +133,9 @@
         std::visit([this](const auto &Typed) { execute(Typed); }, A);
       }),
       Core_(makeBalancer(Settings_, Self_,
-                     [this](ServiceId S, RequestClass C, Micros Delay) {
-                       Delays_.record(serviceName(S), className(C), Delay);
-                     })),
+                         [this](ServiceId S, RequestClass C, Micros Delay) {
+                           Delays_.record(serviceName(S), className(C), Delay);
+                         })),
       Upstream_(Context, Settings_.Upstream_, receiver(&Impl::onUpstream)),
       Peers_(Context, Settings_.Data_, receiver(&Impl::onPeer)),
       Control_(Context, Settings_, Self_, controlHooks()),
@@ -170,24 +169,23 @@
 }
 
 void BalancerProcess::Impl::onUpstream(const Endpoint &From,
-                                         const std::uint8_t *Data,
-                                         std::size_t Size) {
+                                       const std::uint8_t *Data,
+                                       std::size_t Size) {
   FromUpstream E{From, {}};
   if (checkDecoded(decode(Data, Size, E.Message_)))
     dispatch(E);
 }
 
 void BalancerProcess::Impl::onPeer(const Endpoint &From,
-                                     const std::uint8_t *Data,
-                                     std::size_t Size) {
+                                   const std::uint8_t *Data, std::size_t Size) {
   FromPeer E{From, {}};
   if (checkDecoded(decodePeer(Data, Size, Settings_.Keys_, E.Datagram_)))
     dispatch(E);
 }
 
 void BalancerProcess::Impl::onCaller(ServiceId Service, const Endpoint &From,
-                                       const std::uint8_t *Data,
-                                       std::size_t Size) {
+                                     const std::uint8_t *Data,
+                                     std::size_t Size) {
   FromCaller E{From, {}, Size};
   if (!checkDecoded(decode(Data, Size, E.Message_)))
     return;
@@ -323,8 +321,8 @@
 ControlHooks BalancerProcess::Impl::controlHooks() {
   ControlHooks Hooks;
   Hooks.OnHeartbeat_ = [this](const Heartbeat &M) {
-    dispatch(HeartbeatReceived{static_cast<BalancerId>(nameId(M.Name_)), M.Data_,
-                           M.Incarnation_, M.Leaving_});
+    dispatch(HeartbeatReceived{static_cast<BalancerId>(nameId(M.Name_)),
+                               M.Data_, M.Incarnation_, M.Leaving_});
   };
   Hooks.OnDocument_ = [this](DocumentKind Kind, const std::string &Text) {
     // The document counts as current once a peer confirms it.
@@ -376,11 +374,11 @@
   R.Delays_ = &Delays_;
   R.Declaration_ = Declaration_;
   R.ProcessCounters_ = {{"control_bytes_sent", Control.BytesSent_},
-                {"control_bytes_received", Control.BytesReceived_},
-                {"control_messages_sent", Control.MessagesSent_},
-                {"control_messages_refused", Control.MessagesRefused_},
-                {"control_links", Control.Links_},
-                {"platform_calls", Platform_.calls()}};
+                        {"control_bytes_received", Control.BytesReceived_},
+                        {"control_messages_sent", Control.MessagesSent_},
+                        {"control_messages_refused", Control.MessagesRefused_},
+                        {"control_links", Control.Links_},
+                        {"platform_calls", Platform_.calls()}};
   return R;
 }
 
--- a/src/balancer-upstream.cc
+++ b/src/balancer-upstream.cc
@@ -147,8 +147,9 @@
     return;
   }
   bool Started = Row->ReceivedParts_ != 0;
-  ErrorResponse StrongestAnswer =
-      Row->SoleCopy_ && !Started ? ErrorResponse::NotRun : ErrorResponse::OutcomeUnknown;
+  ErrorResponse StrongestAnswer = Row->SoleCopy_ && !Started
+                                      ? ErrorResponse::NotRun
+                                      : ErrorResponse::OutcomeUnknown;
   refuseRow(*Row, ErrorKind::UpstreamRefused, StrongestAnswer, M.RetryAt_);
   removeRequest(*Row);
 }
--- a/src/packet-log.cc
+++ b/src/packet-log.cc
@@ -82,8 +82,8 @@
   if (D.Kind_ == Decision::Kind::Refused) {
     const ErrorRow &Row = errorRow(D.Error_);
     Fields.emplace_back("reason", Row.Name_);
-    Fields.emplace_back("answer",
-                        Row.Response_ == ErrorResponse::Reset ? "reset" : "none");
+    Fields.emplace_back(
+        "answer", Row.Response_ == ErrorResponse::Reset ? "reset" : "none");
   } else {
     Fields.emplace_back("upstream", formatIncarnation(D.Upstream_));
   }
--- a/src/route.cc
+++ b/src/route.cc
@@ -10,8 +10,8 @@
 bool operator==(const Route &A, const Route &B) {
   auto Fields = [](const Route &R) {
     return std::tie(R.Service_, R.Flow_, R.Upstream_, R.UpstreamAddress_,
-                    R.UpstreamIncarnation_, R.PlacedVersion_, R.HomeAddress_, R.HomeIncarnation_,
-                    R.Epoch_);
+                    R.UpstreamIncarnation_, R.PlacedVersion_, R.HomeAddress_,
+                    R.HomeIncarnation_, R.Epoch_);
   };
   return Fields(A) == Fields(B);
 }
@@ -89,14 +89,15 @@
 }
 
 ErrorKind verifyRoute(Bytes Signed, const KeyPair &Keys, ServiceId Service,
-               FlowId Flow, Route &R) {
+                      FlowId Flow, Route &R) {
   if (Signed.Size_ != RouteSize || Signed.Data_[0] != LayoutVersion)
     return ErrorKind::ForgedRoute;
   bool TagMatches = false;
   for (const SecretKey &Secret : Keys) {
     std::uint8_t Tag[TagSize];
     makeTag(Signed.Data_, Service, Flow, Secret, Tag);
-    TagMatches = TagMatches || sodium_memcmp(Tag, Signed.Data_ + BodySize, TagSize) == 0;
+    TagMatches =
+        TagMatches || sodium_memcmp(Tag, Signed.Data_ + BodySize, TagSize) == 0;
   }
   if (!TagMatches && detail::isEnabled(detail::Mechanism::RouteTag))
     return ErrorKind::ForgedRoute;
--- a/src/status-page.cc
+++ b/src/status-page.cc
@@ -36,7 +36,8 @@
     Result.emplace_back(
         "error_" + std::string(errorRow(static_cast<ErrorKind>(I)).Name_),
         C.Errors_[I]);
-  Result.insert(Result.end(), R.ProcessCounters_.begin(), R.ProcessCounters_.end());
+  Result.insert(Result.end(), R.ProcessCounters_.begin(),
+                R.ProcessCounters_.end());
   return Result;
 }
 
--- a/test/published-test.cc
+++ b/test/published-test.cc
@@ -229,8 +229,8 @@
   StoreAnswer A = decode(
       {{"items", {item("op/config", Document, 12)}}, {"store-revision", 15}});
   REQUIRE(A.Routing_);
-  CHECK(A.Routing_->coldFlowsPerSecond(static_cast<ServiceId>(nameId("index"))) ==
-        2.5);
+  CHECK(A.Routing_->coldFlowsPerSecond(
+            static_cast<ServiceId>(nameId("index"))) == 2.5);
   CHECK(A.Routing_->ColdFlowsPerSecond_.size() == 1);
   Document["backends"][0]["warmup-per-s"] = -1;
   A = decode(
