--- a/include/thymewall/declaration.h
+++ b/include/thymewall/declaration.h
@@ -116,8 +116,9 @@
 std::string explain(const Declaration &D, const Service &S, const Upstream &U,
                     const TimeZoneClock &Clock, WallTime When);
 
-/// Returns the indexes into `Upstreams_` of those that serve \p S at \p When.
-std::vector<std::size_t> eligibleUpstreams(const Declaration &D,
+/// Returns the indexes into `Upstreams_` of those that the selectors of \p S
+/// select at \p When.
+std::vector<std::size_t> selectedUpstreams(const Declaration &D,
                                            const Service &S,
                                            const TimeZoneClock &Clock,
                                            WallTime When);
--- a/src/balancer.cc
+++ b/src/balancer.cc
@@ -170,7 +170,7 @@
     S.Selected_.clear();
     S.Generation_ = 0;
     for (std::size_t Index :
-         eligibleUpstreams(*Declaration_, Declaration_->Services_[I],
+         selectedUpstreams(*Declaration_, Declaration_->Services_[I],
                            Options_.Zones_, Now_.Wall_))
       S.Selected_.push_back(
           Upstreams_.findById(Declaration_->Upstreams_[Index].Id_));
--- a/src/ctl-main.cc
+++ b/src/ctl-main.cc
@@ -99,7 +99,7 @@
 std::set<std::string> servingNames(const Declaration &D, const Service &S,
                                    WallTime When) {
   std::set<std::string> Names;
-  for (std::size_t Index : eligibleUpstreams(D, S, timeZoneClock(), When))
+  for (std::size_t Index : selectedUpstreams(D, S, timeZoneClock(), When))
     Names.insert(D.Upstreams_[Index].Name_);
   return Names;
 }
--- a/src/declaration-serving.cc
+++ b/src/declaration-serving.cc
@@ -143,7 +143,7 @@
   return FirstReason.empty() ? "the service has no selector" : FirstReason;
 }
 
-std::vector<std::size_t> eligibleUpstreams(const Declaration &D,
+std::vector<std::size_t> selectedUpstreams(const Declaration &D,
                                            const Service &S,
                                            const TimeZoneClock &Clock,
                                            WallTime When) {
--- a/src/packet-balancer-impl.h
+++ b/src/packet-balancer-impl.h
@@ -128,7 +128,7 @@
                       std::uint32_t Index);
   std::uint32_t choose(ServiceId Service, FlowId Flow, std::uint32_t Attempt,
                        std::uint32_t Avoid);
-  const EligibleSet &eligible(ServiceId Service, ServiceState &State);
+  const EligibleSet &eligibleUpstreams(ServiceId Service, ServiceState &State);
   void separateCold(ServiceState &State, const ColdLimit &Limit);
   std::uint32_t chooseCold(const ServiceState &State, FlowId Flow,
                            const ColdLimit &Limit, std::uint32_t Avoid);
--- a/src/packet-balancer.cc
+++ b/src/packet-balancer.cc
@@ -141,7 +141,7 @@
   auto It = Services_.find(raw(Service));
   if (It == Services_.end())
     return UpstreamTable::None;
-  const EligibleSet &Candidates = eligible(Service, It->second);
+  const EligibleSet &Candidates = eligibleUpstreams(Service, It->second);
   FlowId DrawKey = Flow;
   if (Attempt > 0)
     DrawKey =
@@ -159,8 +159,9 @@
   return Candidates.Indexes_[Other];
 }
 
-const EligibleSet &PacketBalancer::Impl::eligible(ServiceId Service,
-                                                  ServiceState &State) {
+const EligibleSet &
+PacketBalancer::Impl::eligibleUpstreams(ServiceId Service,
+                                        ServiceState &State) {
   Upstreams_.expireEjections(Now_);
   bool Current = State.Generation_ == Upstreams_.generation() &&
                  State.Routing_ == Routing_->Version_ && Now_ < State.WarmAt_;
--- a/test/declaration-test.cc
+++ b/test/declaration-test.cc
@@ -171,7 +171,7 @@
       R"({"from": "08:00", "to": "18:00", "zone": "Europe/Amsterdam"})"));
   REQUIRE(D);
   auto Serves = [&](WallTime When) {
-    return eligibleUpstreams(*D, D->Services_[0], timeZoneClock(), When)
+    return selectedUpstreams(*D, D->Services_[0], timeZoneClock(), When)
                .size() == 1U;
   };
   // In winter 08:00 is 07:00 UTC; in July (150 days before) it is 06:00 UTC.
@@ -220,10 +220,10 @@
     CHECK(checkWeek(*D, Name, timeZoneClock(), at(0, 0, 0)).empty());
     WallTime When = at(0, 0, 0);
     CHECK(
-        eligibleUpstreams(*D, D->Services_[0], timeZoneClock(), When).size() ==
+        selectedUpstreams(*D, D->Services_[0], timeZoneClock(), When).size() ==
         14U);
     CHECK(
-        eligibleUpstreams(*D, D->Services_[1], timeZoneClock(), When).size() ==
+        selectedUpstreams(*D, D->Services_[1], timeZoneClock(), When).size() ==
         4U);
   }
 }
@@ -232,7 +232,7 @@
   DeclarationPtr D = parse(with("/evacuated_data_halls", Json::array({"h1"})));
   REQUIRE(D);
   const Service &Index = D->Services_[0];
-  CHECK(eligibleUpstreams(*D, Index, timeZoneClock(), at(0, 12, 0)).empty());
+  CHECK(selectedUpstreams(*D, Index, timeZoneClock(), at(0, 12, 0)).empty());
   CHECK(explain(*D, Index, D->Upstreams_[0], timeZoneClock(), at(0, 12, 0)) ==
         "data hall \"h1\" is evacuated");
   Problems Repeated =
