--- a/include/thymewall/balancer.h
+++ b/include/thymewall/balancer.h
@@ -52,13 +52,13 @@
 /// A valid declaration was read from the platform or a peer.
 struct DeclarationRead {
   DeclarationPtr Declaration_;
-  /// That of the `RereadSources` which this answers, or 0. Answers to an
+  /// That of the `RefreshDocuments` which this answers, or 0. Answers to an
   /// earlier one don't make the core ready.
-  std::uint64_t RereadId_ = 0;
+  std::uint64_t RefreshId_ = 0;
 };
 /// A source has no newer declaration than the one in force.
 struct DeclarationUnchanged {
-  std::uint64_t RereadId_ = 0;
+  std::uint64_t RefreshId_ = 0;
 };
 /// A valid host list was read.
 struct HostListRead {
@@ -105,8 +105,8 @@
   DeclarationPtr Declaration_;
 };
 /// The process was suspended: reread the platform's and the peers' documents.
-struct RereadSources {
-  std::uint64_t RereadId_ = 0; ///< To be returned with the answers.
+struct RefreshDocuments {
+  std::uint64_t RefreshId_ = 0; ///< To be returned with the answers.
 };
 /// Sends the succession to every peer.
 struct BroadcastSuccession {
@@ -116,7 +116,7 @@
 struct Stopped {};
 
 using Action = std::variant<ToCaller, ToUpstream, ToPeer, DeclarationApplied,
-                            RereadSources, BroadcastSuccession, Stopped>;
+                            RefreshDocuments, BroadcastSuccession, Stopped>;
 using ActionSink = std::function<void(const Action &)>;
 
 /// How the upstream of a caller's datagram was found: from its route, at this
@@ -186,7 +186,7 @@
   /// Interval at which the embedding process sends `Tick`.
   static constexpr Micros TickInterval = std::chrono::milliseconds(5);
   /// A tick later than this means that the process was suspended.
-  static constexpr Micros MaxTickDelay = std::chrono::seconds(1);
+  static constexpr Micros LateTickThreshold = std::chrono::seconds(1);
   /// Size in bytes of the shortest `Open` that is answered. Replies are never
   /// longer, so a spoofed open is not amplified.
   static constexpr std::size_t MinOpenSize = 160;
--- a/include/thymewall/evacuation.h
+++ b/include/thymewall/evacuation.h
@@ -14,21 +14,21 @@
 /// Start or end of the evacuation of a hall.
 struct EvacuationChange {
   std::string DataHall_;
-  Revision At_ = 0;
+  Revision Revision_ = 0;
   bool Evacuated_ = false;
 };
 inline bool operator==(const EvacuationChange &A, const EvacuationChange &B) {
   auto Fields = [](const EvacuationChange &C) {
-    return std::tie(C.DataHall_, C.At_, C.Evacuated_);
+    return std::tie(C.DataHall_, C.Revision_, C.Evacuated_);
   };
   return Fields(A) == Fields(B);
 }
 
-/// Changes in any order. If `Whole_`, they are a snapshot of all evacuated
+/// Changes in any order. If `IsSnapshot_`, they are a snapshot of all evacuated
 /// halls as of `Through_`, and a missing hall is not evacuated. Halls are few,
 /// so peers always send a snapshot.
 struct EvacuationBatch {
-  bool Whole_ = false;
+  bool IsSnapshot_ = false;
   Revision Through_ = 0;
   std::vector<EvacuationChange> Changes_;
 };
--- a/include/thymewall/packet-balancer.h
+++ b/include/thymewall/packet-balancer.h
@@ -80,7 +80,7 @@
   };
   Kind Kind_ = Kind::Listed;
   Incarnation Upstream_{};
-  Endpoint At_;
+  Endpoint Address_;
   Revision Revision_ = 0;
   /// For `Stalled` and `Failing`: number of bad requests and the threshold.
   std::size_t Evidence_ = 0;
@@ -91,7 +91,7 @@
 /// Request for a liveness check, which is a TCP connection to the upstream.
 struct UpstreamCheck {
   Incarnation Upstream_{};
-  Endpoint At_;
+  Endpoint Address_;
 };
 using CheckHook = std::function<void(const UpstreamCheck &)>;
 /// Called with evidence against an upstream that is to be sent to peers.
@@ -237,7 +237,7 @@
   bool hasColdLimits() const;
   /// Replaces the options of the same names.
   void setLimits(Micros MaxStalenessForReset, Micros MaxFlowAge,
-                 double ColdOver, double ColdSlack);
+                 double ColdBurstFactor, double ColdBurstAllowance);
 
   /// Returns the retry timeout of opening packets, which follows the measured
   /// opening delay.
@@ -263,7 +263,7 @@
   PacketBalancerBuilder &onWarning(WarningHook Value);
   PacketBalancerBuilder &maxStalenessForReset(Micros Value);
   PacketBalancerBuilder &maxFlowAge(Micros Value);
-  PacketBalancerBuilder &coldOver(double Times, double Slack);
+  PacketBalancerBuilder &coldBurst(double Factor, double Allowance);
   PacketBalancer build() const;
 
 private:
--- a/include/thymewall/upstream-list.h
+++ b/include/thymewall/upstream-list.h
@@ -22,7 +22,7 @@
   /// Distinguishes starts that share an incarnation.
   std::uint64_t StartTimeMs_ = 0;
   ServiceId Service_{};
-  Endpoint At_;
+  Endpoint Address_;
   std::string DataHall_;
   std::uint32_t Slots_ = 1;
   bool Draining_ = false;
@@ -31,7 +31,7 @@
 };
 inline bool operator==(const UpstreamEntry &A, const UpstreamEntry &B) {
   auto Fields = [](const UpstreamEntry &E) {
-    return std::tie(E.Incarnation_, E.StartTimeMs_, E.Service_, E.At_,
+    return std::tie(E.Incarnation_, E.StartTimeMs_, E.Service_, E.Address_,
                     E.DataHall_, E.Slots_, E.Draining_, E.WarmAt_, E.Part_);
   };
   return Fields(A) == Fields(B);
@@ -53,11 +53,11 @@
 }
 
 /// All changes with a revision above `After_` and up to `Through_`. With
-/// `Whole_` it is a snapshot: upstreams that it lacks are removed. In a
+/// `IsSnapshot_` it is a snapshot: upstreams that it lacks are removed. In a
 /// snapshot for a receiver that is complete through `After_`, `Unchanged_`
 /// lists the upstreams whose entries it has already.
 struct UpstreamBatch {
-  bool Whole_ = false;
+  bool IsSnapshot_ = false;
   Revision After_ = 0;
   Revision Through_ = 0;
   std::vector<UpstreamChange> Changes_;
--- a/include/thymewall/upstream-table.h
+++ b/include/thymewall/upstream-table.h
@@ -16,7 +16,7 @@
 /// upstream that is no longer declared only stops being eligible.
 struct UpstreamRow {
   UpstreamId Id_{};
-  Endpoint At_;
+  Endpoint Address_;
   Incarnation Incarnation_{}; ///< From its latest datagram.
   std::uint32_t Slots_ = 1;
   std::uint32_t OwnFlows_ = 0;      ///< Flows homed at this balancer.
--- a/src/balancer-caller.cc
+++ b/src/balancer-caller.cc
@@ -152,7 +152,7 @@
   M.Deadline_ = Row.Deadline_;
   M.Attempt_ = Row.Attempt_;
   M.Caller_ = Row.Caller_;
-  sendToUpstream(Upstreams_[Row.Upstream_].At_, M);
+  sendToUpstream(Upstreams_[Row.Upstream_].Address_, M);
 }
 
 /// Retries an open at another upstream, or refuses it as not run if the retry
--- a/src/balancer-home.cc
+++ b/src/balancer-home.cc
@@ -85,7 +85,7 @@
   R.Service_ = Row.Service_;
   R.Flow_ = Row.Flow_;
   R.Upstream_ = U.Id_;
-  R.UpstreamAddress_ = U.At_;
+  R.UpstreamAddress_ = U.Address_;
   R.UpstreamIncarnation_ = Upstream;
   R.PlacedVersion_ = Declaration_ ? Declaration_->Version_ : 0;
   R.HomeAddress_ = Options_.Data_;
--- a/src/balancer-impl.h
+++ b/src/balancer-impl.h
@@ -187,11 +187,11 @@
   const ActionSink *Sink_ = nullptr;
   MonoTime Started_{};
   MonoTime NextTickDue_{};
-  MonoTime RereadDeadline_{};
+  MonoTime RefreshDeadline_{};
   MonoTime EarliestStop_{};
   WallTime NextSelectAt_{};
   std::uint64_t LastAttempt_ = 0;
-  std::uint64_t RereadId_ = 0; ///< Of the latest `RereadSources`.
+  std::uint64_t RefreshId_ = 0; ///< Of the latest `RefreshDocuments`.
   std::uint32_t LastEpoch_ = 0;
   bool DeclarationFresh_ = false;
   bool Stopping_ = false;
--- a/src/balancer-process.cc
+++ b/src/balancer-process.cc
@@ -22,7 +22,8 @@
 
 namespace {
 
-/// For documents that answer no `RereadSources`; not enough after a late wake.
+/// For documents that answer no `RefreshDocuments`; not enough after a late
+/// wake.
 constexpr std::uint64_t NoRefresh = 0;
 /// While the platform is down, a whole fleet makes about 1,000 calls per second
 /// (two documents per host, before jitter).
@@ -87,7 +88,7 @@
   void execute(const ToUpstream &A);
   void execute(const ToPeer &A);
   void execute(const DeclarationApplied &A);
-  void execute(const RereadSources &A);
+  void execute(const RefreshDocuments &A);
   void execute(const BroadcastSuccession &A);
   void execute(const Stopped &A);
 
@@ -121,7 +122,7 @@
   HostListPtr Hosts_;
   /// Datagrams that could not be decoded, by error kind.
   decltype(Counters::Errors_) DecodeErrors_{};
-  std::uint64_t LastRefreshId_ = 0; ///< Of the last `RereadSources`.
+  std::uint64_t LastRefreshId_ = 0; ///< Of the last `RefreshDocuments`.
   HttpServer Status_;
 };
 
@@ -244,11 +245,11 @@
            {{"version", std::to_string(Declaration_->Version_)}});
 }
 
-void BalancerProcess::Impl::execute(const RereadSources &A) {
+void BalancerProcess::Impl::execute(const RefreshDocuments &A) {
   logState("late_wake", {});
-  LastRefreshId_ = A.RereadId_;
-  Platform_.readNow(A.RereadId_);
-  Control_.requestHeartbeats(A.RereadId_);
+  LastRefreshId_ = A.RefreshId_;
+  Platform_.readNow(A.RefreshId_);
+  Control_.requestHeartbeats(A.RefreshId_);
 }
 
 void BalancerProcess::Impl::execute(const BroadcastSuccession &A) {
--- a/src/balancer.cc
+++ b/src/balancer.cc
@@ -16,7 +16,7 @@
 constexpr Micros FlowTickLength = 1s;
 /// After a suspension, how long to wait for a source before continuing with the
 /// old declaration.
-constexpr Micros RereadTimeout = 3s;
+constexpr Micros RefreshTimeout = 3s;
 constexpr Micros PeerTimeout = 5s;
 constexpr std::size_t MaxSuccessions = 4096;
 
@@ -43,23 +43,23 @@
 /// Detects a suspension of the process. Called for every event, because the
 /// first one after a suspension may be a datagram queued in a socket.
 void Balancer::Impl::detectLateWake() {
-  if (Now_.Mono_ < NextTickDue_ + MaxTickDelay ||
+  if (Now_.Mono_ < NextTickDue_ + LateTickThreshold ||
       !isEnabled(Mechanism::LateWake))
     return;
   NextTickDue_ = Now_.Mono_ + TickInterval;
   ++Counters_.LateWakes_;
   DeclarationFresh_ = false;
-  RereadDeadline_ = Now_.Mono_ + RereadTimeout;
+  RefreshDeadline_ = Now_.Mono_ + RefreshTimeout;
   Upstreams_.resetHealth();
   Peers_.clear();
   SuspectHomes_.clear();
   NextSelectAt_ = {};
-  (*Sink_)(RereadSources{++RereadId_});
+  (*Sink_)(RefreshDocuments{++RefreshId_});
 }
 
 bool Balancer::Impl::ready() const {
   return Declaration_ != nullptr &&
-         (DeclarationFresh_ || Now_.Mono_ >= RereadDeadline_);
+         (DeclarationFresh_ || Now_.Mono_ >= RefreshDeadline_);
 }
 
 ServiceState *Balancer::Impl::serviceState(ServiceId Id) {
@@ -92,7 +92,7 @@
 }
 
 void Balancer::Impl::on(const DeclarationRead &E) {
-  DeclarationFresh_ = DeclarationFresh_ || E.RereadId_ == RereadId_;
+  DeclarationFresh_ = DeclarationFresh_ || E.RefreshId_ == RefreshId_;
   bool Newer = !Declaration_ || supersedes(*E.Declaration_, *Declaration_);
   if (!Newer && isEnabled(Mechanism::MonotonicVersions))
     return;
@@ -113,7 +113,7 @@
 }
 
 void Balancer::Impl::on(const DeclarationUnchanged &E) {
-  DeclarationFresh_ = DeclarationFresh_ || E.RereadId_ == RereadId_;
+  DeclarationFresh_ = DeclarationFresh_ || E.RefreshId_ == RefreshId_;
 }
 
 void Balancer::Impl::on(const HostListRead &E) {
@@ -224,7 +224,7 @@
     Cancel.Request_ = Row.Key_.Number_;
     Cancel.Attempt_ = Row.Attempt_;
     Cancel.Caller_ = Row.Caller_;
-    sendToUpstream(Upstreams_[Row.Upstream_].At_, Cancel);
+    sendToUpstream(Upstreams_[Row.Upstream_].Address_, Cancel);
     --Upstreams_[Row.Upstream_].InFlight_;
     refuseRow(Row, ErrorKind::NoAnswer, ErrorResponse::OutcomeUnknown);
   });
--- a/src/evacuation.cc
+++ b/src/evacuation.cc
@@ -8,7 +8,7 @@
                            std::vector<EvacuationChange> &Applied) {
   for (const EvacuationChange &Change : Batch.Changes_)
     applyChange(Change, Applied);
-  if (Batch.Whole_)
+  if (Batch.IsSnapshot_)
     removeAbsent(Batch, Applied);
   Through_ = std::max(Through_, Batch.Through_);
 }
@@ -18,10 +18,10 @@
   auto Known = EvacuatedAt_.find(Change.DataHall_);
   bool Evacuated = Known != EvacuatedAt_.end();
   Revision KnownAt = Evacuated ? Known->second : Through_;
-  if (Change.At_ <= KnownAt)
+  if (Change.Revision_ <= KnownAt)
     return;
   if (Change.Evacuated_)
-    EvacuatedAt_[Change.DataHall_] = Change.At_;
+    EvacuatedAt_[Change.DataHall_] = Change.Revision_;
   else if (Evacuated)
     EvacuatedAt_.erase(Known);
   if (Change.Evacuated_ != Evacuated)
--- a/src/news-message.cc
+++ b/src/news-message.cc
@@ -96,7 +96,7 @@
 Json toJson(const EvacuationBatch &Batch) {
   Json Halls = Json::array();
   for (const EvacuationChange &Change : Batch.Changes_)
-    Halls.push_back(Json::array({Change.DataHall_, Change.At_}));
+    Halls.push_back(Json::array({Change.DataHall_, Change.Revision_}));
   return Json::array({Batch.Through_, Halls});
 }
 
@@ -108,7 +108,7 @@
   const UpstreamBatch &Batch = M.Upstreams_;
   return {raw(Type::StateUpdate),
           Table,
-          Batch.Whole_,
+          Batch.IsSnapshot_,
           Batch.After_,
           Batch.Through_,
           detail::encodeChanges(Batch.Changes_, Now),
@@ -191,10 +191,10 @@
   return Batch;
 }
 
-GossipMessage newsFrom(const Json &J, MonoTime Now) {
+GossipMessage stateUpdateFrom(const Json &J, MonoTime Now) {
   StateUpdate M;
   M.Routing_ = routingFrom(J.at(1));
-  M.Upstreams_.Whole_ = J.at(2).get<bool>();
+  M.Upstreams_.IsSnapshot_ = J.at(2).get<bool>();
   M.Upstreams_.After_ = J.at(3).get<Revision>();
   M.Upstreams_.Through_ = J.at(4).get<Revision>();
   M.Upstreams_.Changes_ = detail::decodeChanges(J.at(5), Now);
@@ -235,7 +235,7 @@
                         J.at(3).get<bool>(), partsFrom(J.at(4)),
                         digestsFrom(J.at(5))};
   case Type::StateUpdate:
-    return newsFrom(J, Now);
+    return stateUpdateFrom(J, Now);
   case Type::Warning:
     return warningFrom(J);
   }
--- a/src/packet-balancer-addresses.cc
+++ b/src/packet-balancer-addresses.cc
@@ -5,13 +5,13 @@
 namespace thymewall {
 
 void PacketBalancer::Impl::addToAddress(std::uint32_t Index) {
-  const Endpoint &At = Upstreams_[Index].At_;
+  const Endpoint &At = Upstreams_[Index].Address_;
   IndexesByAddress_[At].push_back(Index);
   endReplacedUpstreams(At);
 }
 
 void PacketBalancer::Impl::removeFromAddress(std::uint32_t Index) {
-  auto It = IndexesByAddress_.find(Upstreams_[Index].At_);
+  auto It = IndexesByAddress_.find(Upstreams_[Index].Address_);
   if (It == IndexesByAddress_.end())
     return;
   std::vector<std::uint32_t> &Indexes = It->second;
@@ -45,8 +45,8 @@
   const UpstreamState &OldState = UpstreamStates_[Previous];
   if (!Routing_ || !Routing_->knowsService(NewState.Service_))
     return false;
-  if (NewState.BornMs_ != 0 && OldState.BornMs_ != 0)
-    return NewState.BornMs_ > OldState.BornMs_;
+  if (NewState.StartTimeMs_ != 0 && OldState.StartTimeMs_ != 0)
+    return NewState.StartTimeMs_ > OldState.StartTimeMs_;
   return OldState.Gone_ && !NewState.Gone_ && !NewState.Replaced_;
 }
 
--- a/src/packet-balancer-evidence.cc
+++ b/src/packet-balancer-evidence.cc
@@ -74,7 +74,8 @@
     return;
   State.NextCheckAt_ = Now_ + MinCheckInterval;
   ++Counters_.Checks_;
-  Options_.OnCheck_({Upstreams_[Index].Incarnation_, Upstreams_[Index].At_});
+  Options_.OnCheck_(
+      {Upstreams_[Index].Incarnation_, Upstreams_[Index].Address_});
 }
 
 /// Checks upstreams that peers reported dead and rechecks the dead ones that
@@ -101,7 +102,7 @@
       Upstreams_[Index].Dead_)
     return;
   UpstreamState &State = UpstreamStates_[Index];
-  if (M.StartTimeMs_ != State.BornMs_)
+  if (M.StartTimeMs_ != State.StartTimeMs_)
     return; // about another start of the upstream
   if (M.Kind_ == UpstreamWarning::Kind::Dead)
     State.CheckRequested_ = true;
@@ -117,7 +118,7 @@
                                 FlowId Flow) const {
   if (Options_.OnWarning_)
     Options_.OnWarning_({Upstreams_.rows()[Index].Incarnation_, Kind, Flow,
-                         UpstreamStates_[Index].BornMs_});
+                         UpstreamStates_[Index].StartTimeMs_});
 }
 
 void PacketBalancer::Impl::recordRequest(std::uint32_t Index, FlowId Flow) {
@@ -276,8 +277,8 @@
     Upstreams_.beginSlowStart(Index, Upstreams_[Index].EjectedUntil_);
   if (Options_.OnUpstreamEvent_)
     Options_.OnUpstreamEvent_({Reason, Upstreams_[Index].Incarnation_,
-                               Upstreams_[Index].At_, State.Revision_, Evidence,
-                               Needed});
+                               Upstreams_[Index].Address_, State.Revision_,
+                               Evidence, Needed});
 }
 
 void PacketBalancer::Impl::setAlive(std::uint32_t Index) {
--- a/src/packet-balancer-impl.h
+++ b/src/packet-balancer-impl.h
@@ -61,11 +61,11 @@
     return Routing_ && !Routing_->ColdFlowsPerSecond_.empty();
   }
   void setLimits(Micros MaxStalenessForReset, Micros MaxFlowAge,
-                 double ColdOver, double ColdSlack) {
+                 double ColdBurstFactor, double ColdBurstAllowance) {
     Options_.MaxStalenessForReset_ = MaxStalenessForReset;
     Options_.MaxFlowAge_ = MaxFlowAge;
-    Options_.Cold_.BurstFactor_ = ColdOver;
-    Options_.Cold_.BurstAllowance_ = ColdSlack;
+    Options_.Cold_.BurstFactor_ = ColdBurstFactor;
+    Options_.Cold_.BurstAllowance_ = ColdBurstAllowance;
   }
   bool ready() const { return Routing_ && UpstreamsKnown_; }
   const PacketCounters &counters() const { return Counters_; }
@@ -83,7 +83,7 @@
     bool ListedInService_ = false; ///< Whether `Service_` is set.
     std::string DataHall_;
     Revision Revision_ = 0;
-    std::uint64_t BornMs_ = 0; ///< Published start time.
+    std::uint64_t StartTimeMs_ = 0; ///< Published start time.
     /// When this balancer learned of the restart; 0 if there was none.
     MonoTime StartedAt_{};
     MonoTime ColdUntil_{};      ///< Published end of its cold start.
--- a/src/packet-balancer-upstreams.cc
+++ b/src/packet-balancer-upstreams.cc
@@ -37,8 +37,8 @@
   if (!IsNew)
     removeFromAddress(It->second);
   std::uint32_t Index =
-      Upstreams_.addOrUpdate(static_cast<UpstreamId>(UpstreamCookie), Entry.At_,
-                             Entry.Slots_, Entry.WarmAt_);
+      Upstreams_.addOrUpdate(static_cast<UpstreamId>(UpstreamCookie),
+                             Entry.Address_, Entry.Slots_, Entry.WarmAt_);
   if (UpstreamStates_.size() <= Index)
     UpstreamStates_.resize(Index + 1);
   IndexOfCookie_[UpstreamCookie] = Index;
@@ -47,8 +47,8 @@
                         Entry.Draining_);
   joinService(Index, Entry.Service_);
   UpstreamState &State = UpstreamStates_[Index];
-  bool Restarted = !IsNew && State.BornMs_ != Entry.StartTimeMs_;
-  State.BornMs_ = Entry.StartTimeMs_;
+  bool Restarted = !IsNew && State.StartTimeMs_ != Entry.StartTimeMs_;
+  State.StartTimeMs_ = Entry.StartTimeMs_;
   if (Restarted)
     resetState(Index);
   bool NewlyDraining = Entry.Draining_ && !State.Draining_;
@@ -122,7 +122,7 @@
   UpstreamState &State = UpstreamStates_[Index];
   NewState.Service_ = State.Service_;
   NewState.ListedInService_ = State.ListedInService_;
-  NewState.BornMs_ = State.BornMs_;
+  NewState.StartTimeMs_ = State.StartTimeMs_;
   NewState.StartedAt_ = Now_;
   State = NewState;
 }
@@ -168,7 +168,7 @@
   State.ReleaseAt_ = Now_ + Options_.MaxFlowAge_;
   Upstreams_.withdraw(Index);
   reportEvent(UpstreamEvent::Kind::Gone, Index);
-  endReplacedUpstreams(Upstreams_[Index].At_);
+  endReplacedUpstreams(Upstreams_[Index].Address_);
 }
 
 /// Removes lapsed upstreams after their grace period and releases the rows of
@@ -202,8 +202,8 @@
   if (!Options_.OnUpstreamEvent_ || !Individually)
     return;
   const UpstreamRow &Up = Upstreams_.rows()[Index];
-  Options_.OnUpstreamEvent_(
-      {Kind, Up.Incarnation_, Up.At_, UpstreamStates_[Index].Revision_, 0, 0});
+  Options_.OnUpstreamEvent_({Kind, Up.Incarnation_, Up.Address_,
+                             UpstreamStates_[Index].Revision_, 0, 0});
 }
 
 std::string_view PacketBalancer::Impl::exclusionReason(std::uint32_t Index,
--- a/src/packet-balancer.cc
+++ b/src/packet-balancer.cc
@@ -132,7 +132,7 @@
   reportDecision(Kind, P, Index, ErrorKind::None,
                  Services_[raw(Service)].Eligible_.size());
   const UpstreamRow &Up = Upstreams_[Index];
-  return {Up.At_, Up.Incarnation_, cookieOf(Up.Incarnation_)};
+  return {Up.Address_, Up.Incarnation_, cookieOf(Up.Incarnation_)};
 }
 
 std::uint32_t PacketBalancer::Impl::choose(ServiceId Service, FlowId Flow,
@@ -233,7 +233,7 @@
   std::uint32_t Index = It->second;
   recordProgress(P, Flow, Index);
   const UpstreamRow &Up = Upstreams_[Index];
-  return Forward{Up.At_, Up.Incarnation_, P.Cookie_};
+  return Forward{Up.Address_, Up.Incarnation_, P.Cookie_};
 }
 
 void PacketBalancer::Impl::setRouting(RoutingTablePtr Table) {
@@ -335,8 +335,10 @@
 }
 bool PacketBalancer::hasColdLimits() const { return Impl_->hasColdLimits(); }
 void PacketBalancer::setLimits(Micros MaxStalenessForReset, Micros MaxFlowAge,
-                               double ColdOver, double ColdSlack) {
-  Impl_->setLimits(MaxStalenessForReset, MaxFlowAge, ColdOver, ColdSlack);
+                               double ColdBurstFactor,
+                               double ColdBurstAllowance) {
+  Impl_->setLimits(MaxStalenessForReset, MaxFlowAge, ColdBurstFactor,
+                   ColdBurstAllowance);
 }
 Micros PacketBalancer::openingTimeout() const {
   return Impl_->openingTimeout();
@@ -387,10 +389,10 @@
   Options_.OnWarning_ = std::move(Value);
   return *this;
 }
-PacketBalancerBuilder &PacketBalancerBuilder::coldOver(double Times,
-                                                       double Slack) {
-  Options_.Cold_.BurstFactor_ = Times;
-  Options_.Cold_.BurstAllowance_ = Slack;
+PacketBalancerBuilder &PacketBalancerBuilder::coldBurst(double Factor,
+                                                        double Allowance) {
+  Options_.Cold_.BurstFactor_ = Factor;
+  Options_.Cold_.BurstAllowance_ = Allowance;
   return *this;
 }
 PacketBalancer PacketBalancerBuilder::build() const {
--- a/src/packet-log.cc
+++ b/src/packet-log.cc
@@ -97,7 +97,7 @@
 
 void logBelief(const UpstreamEvent &B) {
   LogFields Fields = {{"upstream", formatIncarnation(B.Upstream_)},
-                      {"address", formatEndpoint(B.At_)},
+                      {"address", formatEndpoint(B.Address_)},
                       {"revision", B.Revision_}};
   bool Judged = B.Kind_ == UpstreamEvent::Kind::Stalled ||
                 B.Kind_ == UpstreamEvent::Kind::Failing;
@@ -118,9 +118,9 @@
 }
 
 void logEvacuation(const EvacuationChange &Change) {
-  logDecision(Change.Evacuated_ ? "data_hall_evacuated"
-                                : "data_hall_taken_back",
-              {{"data_hall", Change.DataHall_}, {"revision", Change.At_}});
+  logDecision(
+      Change.Evacuated_ ? "data_hall_evacuated" : "data_hall_taken_back",
+      {{"data_hall", Change.DataHall_}, {"revision", Change.Revision_}});
 }
 
 void logUpstreams(const std::vector<UpstreamChange> &Changes,
--- a/src/packet-pages.cc
+++ b/src/packet-pages.cc
@@ -84,7 +84,7 @@
   std::string Service = R.Routing_ ? R.Routing_->serviceName(U.Service_)
                                    : std::to_string(raw(U.Service_));
   return {{"name", formatIncarnation(U.Incarnation_)},
-          {"address", formatEndpoint(U.Row_.At_)},
+          {"address", formatEndpoint(U.Row_.Address_)},
           {"service", Service},
           {"data_hall", U.DataHall_},
           {"slots", U.Row_.Slots_},
--- a/src/packet-process.cc
+++ b/src/packet-process.cc
@@ -40,7 +40,7 @@
   return PacketBalancerBuilder()
       .maxStalenessForReset(resetWhenKnown(S))
       .maxFlowAge(S.FlowLimit_)
-      .coldOver(S.ColdOver_, S.ColdSlack_)
+      .coldBurst(S.ColdOver_, S.ColdSlack_)
       .onDecision(logDecisionOn)
       .onUpstreamEvent(logBelief)
       .onDelay(std::move(OnDelay))
--- a/src/status-page.cc
+++ b/src/status-page.cc
@@ -55,7 +55,7 @@
   Json Upstreams = Json::array();
   for (const UpstreamRow &U : R.Status_.Upstreams_)
     Upstreams.push_back({{"name", upstreamName(R, U.Id_)},
-                         {"address", formatEndpoint(U.At_)},
+                         {"address", formatEndpoint(U.Address_)},
                          {"own_flows", U.OwnFlows_},
                          {"in_flight", U.InFlight_},
                          {"reported_flows", U.ReportedFlows_},
--- a/src/upstream-checker.cc
+++ b/src/upstream-checker.cc
@@ -35,7 +35,7 @@
       if (!Error && Self->Attempt_ == Attempt)
         Self->onSilence();
     });
-    asio::ip::udp::endpoint At = toAsio(Wanted_.At_);
+    asio::ip::udp::endpoint At = toAsio(Wanted_.Address_);
     Socket_.async_connect({At.address(), At.port()},
                           [Self = shared_from_this(),
                            Attempt = Attempt_](const asio::error_code &Error) {
--- a/src/upstream-codec.cc
+++ b/src/upstream-codec.cc
@@ -64,11 +64,12 @@
   if (!Change.Entry_)
     return Json::array({raw(Change.Incarnation_), Change.Revision_});
   const UpstreamEntry &E = *Change.Entry_;
-  return Json::array(
-      {raw(Change.Incarnation_), Change.Revision_,
-       indexOrAppend(raw(E.Service_), Table.Services_), encodeAddress(E.At_),
-       indexOrAppend(E.DataHall_, Table.DataHalls_), E.Slots_, E.Draining_,
-       millisLeft(E.WarmAt_, Now), E.StartTimeMs_, E.Part_});
+  return Json::array({raw(Change.Incarnation_), Change.Revision_,
+                      indexOrAppend(raw(E.Service_), Table.Services_),
+                      encodeAddress(E.Address_),
+                      indexOrAppend(E.DataHall_, Table.DataHalls_), E.Slots_,
+                      E.Draining_, millisLeft(E.WarmAt_, Now), E.StartTimeMs_,
+                      E.Part_});
 }
 
 UpstreamChange decodeChange(const Json &J, MonoTime Now,
@@ -84,7 +85,7 @@
   E.Incarnation_ = Change.Incarnation_;
   E.Service_ =
       static_cast<ServiceId>(Table.Services_.at(J.at(2).get<std::size_t>()));
-  E.At_ = decodeAddress(J.at(3));
+  E.Address_ = decodeAddress(J.at(3));
   E.DataHall_ = Table.DataHalls_.at(J.at(4).get<std::size_t>());
   E.Slots_ = J.at(5).get<std::uint32_t>();
   E.Draining_ = J.at(6).get<bool>();
--- a/src/upstream-list.cc
+++ b/src/upstream-list.cc
@@ -16,7 +16,7 @@
   for (const UpstreamChange &Change : Batch.Changes_)
     if (Change.Revision_ > Through_)
       applyChange(Change, Applied);
-  if (Batch.Whole_)
+  if (Batch.IsSnapshot_)
     removeAbsent(Batch, Applied);
   Through_ = Batch.Through_;
   return true;
@@ -132,16 +132,16 @@
 
 UpstreamBatch UpstreamList::changesSince(Revision After) const {
   UpstreamBatch Batch;
-  Batch.Whole_ = After < TombstonesAfter_ || After == 0;
+  Batch.IsSnapshot_ = After < TombstonesAfter_ || After == 0;
   Batch.After_ = After;
   Batch.Through_ = Through_;
   for (const auto &[Which, Known] : Entries_) {
     if (Known.Revision_ > After)
       Batch.Changes_.push_back({Which, Known.Revision_, Known.Entry_});
-    else if (Batch.Whole_)
+    else if (Batch.IsSnapshot_)
       Batch.Unchanged_.push_back(Which);
   }
-  if (Batch.Whole_)
+  if (Batch.IsSnapshot_)
     return Batch;
   for (auto Tombstone = Tombstones_.upper_bound(After);
        Tombstone != Tombstones_.end(); ++Tombstone)
@@ -159,7 +159,7 @@
 
 UpstreamBatch UpstreamList::diffByDigests(const PartDigests &Theirs) const {
   UpstreamBatch Batch;
-  Batch.Whole_ = true;
+  Batch.IsSnapshot_ = true;
   Batch.Through_ = Through_;
   PartDigests Ours = digests();
   for (std::size_t Part = 0; Part < ListPartCount; ++Part)
--- a/src/upstream-table.cc
+++ b/src/upstream-table.cc
@@ -128,7 +128,7 @@
     Index = allocateRow(Id);
   UpstreamRow &Row = Rows_[Index];
   Row.Declared_ = true;
-  Row.At_ = At;
+  Row.Address_ = At;
   Row.Slots_ = Slots;
   Row.WarmAt_ = WarmAt;
   ByEndpoint_[At] = Index;
@@ -157,7 +157,7 @@
 void UpstreamTable::release(std::uint32_t Index) {
   UpstreamRow &Row = Rows_[Index];
   ById_.erase(raw(Row.Id_));
-  auto AtAddress = ByEndpoint_.find(Row.At_);
+  auto AtAddress = ByEndpoint_.find(Row.Address_);
   if (AtAddress != ByEndpoint_.end() && AtAddress->second == Index)
     ByEndpoint_.erase(AtAddress);
   Row = UpstreamRow{};
@@ -175,7 +175,7 @@
 
 std::uint32_t UpstreamTable::addUndeclared(UpstreamId Id, const Endpoint &At) {
   std::uint32_t Index = allocateRow(Id);
-  Rows_[Index].At_ = At;
+  Rows_[Index].Address_ = At;
   ByEndpoint_.try_emplace(At, Index);
   return Index;
 }
--- a/test/balancer-harness.h
+++ b/test/balancer-harness.h
@@ -123,8 +123,8 @@
     } else if (const auto *P = std::get_if<ToPeer>(&A)) {
       LastToPeer_ = *P;
       ++ToPeerCount_;
-    } else if (const auto *R = std::get_if<RereadSources>(&A)) {
-      RereadId_ = R->RereadId_;
+    } else if (const auto *R = std::get_if<RefreshDocuments>(&A)) {
+      RefreshId_ = R->RefreshId_;
     }
   }
 
@@ -139,7 +139,7 @@
   int ToCallerCount_ = 0;
   int ToUpstreamCount_ = 0;
   int ToPeerCount_ = 0;
-  std::uint64_t RereadId_ = 0;
+  std::uint64_t RefreshId_ = 0;
 };
 
 inline bool notRun(const BalancerHarness &B) {
--- a/test/balancer-test.cc
+++ b/test/balancer-test.cc
@@ -264,13 +264,13 @@
   B.advance(milliseconds(50));
   B.pauseProcess(std::chrono::seconds(5));
   B.open();
-  CHECK(B.RereadId_ == 1U);
+  CHECK(B.RefreshId_ == 1U);
   CHECK(B.ToUpstreamCount_ == 0);
   CHECK(B.LastToCaller_->Message_.Reason_ == ErrorKind::NotReady);
   B.handle(DeclarationUnchanged{}); // sent before the suspension
   B.open();
   CHECK(B.ToUpstreamCount_ == 0);
-  B.handle(DeclarationUnchanged{B.RereadId_});
+  B.handle(DeclarationUnchanged{B.RefreshId_});
   B.open();
   CHECK(B.ToUpstreamCount_ == 1);
 }
--- a/test/cold-admission-test.cc
+++ b/test/cold-admission-test.cc
@@ -41,7 +41,7 @@
 }
 
 PacketBalancer withLimit(double PerSecond) {
-  PacketBalancer B = PacketBalancerBuilder().coldOver(1.5, 5).build();
+  PacketBalancer B = PacketBalancerBuilder().coldBurst(1.5, 5).build();
   B.setRouting(at(0ms), limited(1, PerSecond));
   B.confirmUpTo(at(0ms));
   return B;
--- a/test/ended-answers-test.cc
+++ b/test/ended-answers-test.cc
@@ -14,9 +14,9 @@
 /// A news exchange that has just started, with five simulated peers.
 class StartingBalancer {
 public:
-  StartingBalancer() : News_({member(0), {}}, hooks()) {
+  StartingBalancer() : Gossip_({member(0), {}}, hooks()) {
     for (std::uint64_t Peer = 1; Peer <= 5; ++Peer)
-      News_.opened(at(0ms), LinkId{Peer}, false);
+      Gossip_.opened(at(0ms), LinkId{Peer}, false);
   }
 
   /// Receives a heartbeat of a peer that knows one more change each time.
@@ -24,15 +24,15 @@
     PeerHeartbeat M;
     M.Sender_ = member(Peer);
     M.Through_ = ++Published_;
-    News_.received(at(Time), LinkId{Peer}, M);
+    Gossip_.received(at(Time), LinkId{Peer}, M);
   }
 
   /// Receives a peer's answer to a request.
   void answer(std::chrono::milliseconds Time, std::uint64_t Peer) {
     StateUpdate M;
     M.Upstreams_.Through_ = Published_;
-    M.Upstreams_.Whole_ = true;
-    News_.received(at(Time), LinkId{Peer}, M);
+    M.Upstreams_.IsSnapshot_ = true;
+    Gossip_.received(at(Time), LinkId{Peer}, M);
   }
 
   /// Peers that received a request for ended upstreams.
@@ -65,7 +65,7 @@
   }
 
   Revision Published_ = 0;
-  GossipNode News_;
+  GossipNode Gossip_;
 };
 
 } // namespace
--- a/test/evacuation-test.cc
+++ b/test/evacuation-test.cc
@@ -112,14 +112,14 @@
       auto Through = *rc::gen::inRange<Revision>(0, Log.size() + 1);
       EvacuationBatch Batch{*rc::gen::arbitrary<bool>(), Through, {}};
       // A watch continues from the known revision; a list is self-contained.
-      if (!Batch.Whole_ && Through >= Known)
+      if (!Batch.IsSnapshot_ && Through >= Known)
         Batch.Changes_ = {Log.begin() + static_cast<std::ptrdiff_t>(Known),
                           Log.begin() + static_cast<std::ptrdiff_t>(Through)};
-      if (!Batch.Whole_ && Through < Known)
+      if (!Batch.IsSnapshot_ && Through < Known)
         continue;
       for (const EvacuationChange &Change : Log)
-        if (Batch.Whole_ && Change.At_ <= Through && Change.Evacuated_ &&
-            Truth[Through].count(Change.DataHall_) != 0)
+        if (Batch.IsSnapshot_ && Change.Revision_ <= Through &&
+            Change.Evacuated_ && Truth[Through].count(Change.DataHall_) != 0)
           Batch.Changes_.push_back(Change);
       apply(List, Batch);
       Known = std::max(Known, Through);
--- a/test/fleet-start-test.cc
+++ b/test/fleet-start-test.cc
@@ -27,7 +27,7 @@
     for (std::uint64_t I = 1; I <= Upstreams_; ++I) {
       UpstreamEntry E;
       E.Incarnation_ = Incarnation{1000 + I};
-      E.At_ = Endpoint::v4(static_cast<std::uint32_t>(1000 + I), 9000);
+      E.Address_ = Endpoint::v4(static_cast<std::uint32_t>(1000 + I), 9000);
       Fleet_.publish(E.Incarnation_, E);
     }
     Fleet_.run(3s);
--- a/test/fleet.cc
+++ b/test/fleet.cc
@@ -202,27 +202,27 @@
       if (Nodes_[I].Incarnation_ == Expected)
         Nodes_[I].Core_.reset();
     });
-  } else if (const auto *Reread = std::get_if<RereadSources>(&A)) {
-    reread(I, Reread->RereadId_);
+  } else if (const auto *Reread = std::get_if<RefreshDocuments>(&A)) {
+    refresh(I, Reread->RefreshId_);
   }
 }
 
 /// Answers a reread by the platform or, if it is down, by every peer.
-void Fleet::reread(std::size_t I, std::uint64_t RereadId) {
+void Fleet::refresh(std::size_t I, std::uint64_t RefreshId) {
   if (Now_ >= PlatformDownUntil_) {
     DeclarationPtr Latest = Published_.back();
-    return sendToNode(I, [this, I, Latest, RereadId] {
-      handleEvent(I, DeclarationRead{Latest, RereadId});
+    return sendToNode(I, [this, I, Latest, RefreshId] {
+      handleEvent(I, DeclarationRead{Latest, RefreshId});
     });
   }
   for (std::size_t J = 0; J < Nodes_.size(); ++J)
     if (J != I && Nodes_[J].Core_ && !isPartitioned(I, J) &&
         !isPartitioned(J, I))
-      sendToNode(J, [this, I, J, RereadId] {
+      sendToNode(J, [this, I, J, RefreshId] {
         DeclarationPtr Current = Nodes_[J].AppliedDeclaration_;
-        sendToNode(I, [this, I, Current, RereadId] {
+        sendToNode(I, [this, I, Current, RefreshId] {
           if (Current)
-            handleEvent(I, DeclarationRead{Current, RereadId});
+            handleEvent(I, DeclarationRead{Current, RefreshId});
         });
       });
 }
--- a/test/fleet.h
+++ b/test/fleet.h
@@ -153,7 +153,7 @@
   void handleEvent(std::size_t I, const Event &What);
   void perform(std::size_t I, const Action &A);
   void tick(std::size_t I, Incarnation Expected);
-  void reread(std::size_t I, std::uint64_t RereadId);
+  void refresh(std::size_t I, std::uint64_t RefreshId);
   void heartbeat();
   void inject(const Fault &F);
   void publish(const std::function<void(std::size_t, std::string &)> &Label);
--- a/test/flow-fleet-test.cc
+++ b/test/flow-fleet-test.cc
@@ -140,14 +140,14 @@
         std::size_t B = Any();
         std::size_t C = Any();
         if (A != B)
-          Fleet.news().setBlocked(A, B, true);
+          Fleet.gossip().setBlocked(A, B, true);
         Fleet.kill(C);
         Fleet.run(anyGap());
         Fleet.restart(C);
         Fleet.run(FlowFleet::StartupTime);
         Fleet.sendOnAllFlows();
         if (A != B)
-          Fleet.news().setBlocked(A, B, false);
+          Fleet.gossip().setBlocked(A, B, false);
         break;
       }
       }
--- a/test/flow-fleet.cc
+++ b/test/flow-fleet.cc
@@ -11,7 +11,7 @@
 } // namespace
 
 FlowFleet::FlowFleet(std::size_t Balancers) : Balancers_(Balancers) {
-  News_ = std::make_unique<GossipFleet>(Balancers, 3, hooks());
+  Gossip_ = std::make_unique<GossipFleet>(Balancers, 3, hooks());
   for (std::size_t Address = 0; Address < Addresses; ++Address)
     setRoute(Address, {service(Address % Services)});
   for (std::size_t Service = 0; Service < Services; ++Service)
@@ -26,19 +26,20 @@
     Balancer &B = Balancers_[Which];
     B.Core_ = std::make_unique<PacketBalancer>(PacketBalancerBuilder().build());
     B.Alive_ = true;
-    B.StartedAt_ = News_ ? News_->clock() : MonoTime{};
+    B.StartedAt_ = Gossip_ ? Gossip_->clock() : MonoTime{};
   };
   Hooks.OnTick_ = [this](std::size_t Which) {
-    if (News_)
-      Balancers_[Which].Core_->tick(News_->clock());
+    if (Gossip_)
+      Balancers_[Which].Core_->tick(Gossip_->clock());
   };
   Hooks.OnRouting_ = [this](std::size_t Which, const RoutingTablePtr &Table) {
-    Balancers_[Which].Core_->setRouting(News_->clock(), Table);
+    Balancers_[Which].Core_->setRouting(Gossip_->clock(), Table);
   };
   Hooks.OnUpstreams_ = [this](std::size_t Which,
                               const MemberHooks::Upstreams &Changes,
                               bool MayReturn) {
-    Balancers_[Which].Core_->applyUpstreams(News_->clock(), Changes, MayReturn);
+    Balancers_[Which].Core_->applyUpstreams(Gossip_->clock(), Changes,
+                                            MayReturn);
   };
   Hooks.OnConfirmed_ = [this](std::size_t Which, MonoTime AsOf) {
     Balancers_[Which].Core_->confirmUpTo(AsOf);
@@ -48,10 +49,10 @@
 
 void FlowFleet::kill(std::size_t Which) {
   Balancers_[Which].Alive_ = false;
-  News_->kill(Which);
+  Gossip_->kill(Which);
 }
 
-void FlowFleet::restart(std::size_t Which) { News_->restart(Which); }
+void FlowFleet::restart(std::size_t Which) { Gossip_->restart(Which); }
 
 ServiceId FlowFleet::service(std::size_t Which) {
   return static_cast<ServiceId>(Which + 1);
@@ -65,27 +66,27 @@
     AllowedServices_[addressOf(Address)].insert(Service);
   }
   Table_.Addresses_[addressOf(Address)] = Shares;
-  News_->publishRouting(Table_);
+  Gossip_->publishRouting(Table_);
 }
 
 Incarnation FlowFleet::addUpstream(std::size_t Service) {
   UpstreamEntry E;
   E.Incarnation_ = Incarnation{++LastUpstream_};
   E.Service_ = service(Service);
-  E.At_ = Endpoint::v4(static_cast<std::uint32_t>(LastUpstream_), 9000);
+  E.Address_ = Endpoint::v4(static_cast<std::uint32_t>(LastUpstream_), 9000);
   Upstreams_[E.Incarnation_].Entry_ = E;
-  News_->publish(E.Incarnation_, E);
+  Gossip_->publish(E.Incarnation_, E);
   return E.Incarnation_;
 }
 
 void FlowFleet::drain(Incarnation Which) {
   UpstreamEntry &E = Upstreams_[Which].Entry_;
   E.Draining_ = true;
-  News_->publish(Which, E);
+  Gossip_->publish(Which, E);
 }
 
 void FlowFleet::unpublish(Incarnation Which) {
-  News_->publish(Which, std::nullopt);
+  Gossip_->publish(Which, std::nullopt);
 }
 
 void FlowFleet::terminate(Incarnation Which) {
@@ -117,7 +118,7 @@
   P.Opens_ = true;
   if (!B.Alive_)
     return false;
-  Verdict V = B.Core_->steer(News_->clock(), P);
+  Verdict V = B.Core_->steer(Gossip_->clock(), P);
   const auto *F = std::get_if<Forward>(&V);
   if (!F || !deliver(*F, P))
     return false;
@@ -131,7 +132,7 @@
   P.Acknowledges_ = true;
   P.Acknowledged_ = 1;
   P.Cookie_ = FlowCookie;
-  Verdict V = Balancers_[Which].Core_->steer(News_->clock(), P);
+  Verdict V = Balancers_[Which].Core_->steer(Gossip_->clock(), P);
   const auto *F = std::get_if<Forward>(&V);
   return F && deliver(*F, P);
 }
@@ -139,7 +140,7 @@
 void FlowFleet::sendOnAllFlows() {
   for (std::size_t Which = 0; Which < Balancers_.size(); ++Which) {
     const Balancer &B = Balancers_[Which];
-    if (!B.Alive_ || News_->clock() - B.StartedAt_ < StartupTime)
+    if (!B.Alive_ || Gossip_->clock() - B.StartedAt_ < StartupTime)
       continue;
     for (std::size_t Flow = 0; Flow < Flows_.size(); ++Flow) {
       const OpenFlow &F = Flows_[Flow];
--- a/test/flow-fleet.h
+++ b/test/flow-fleet.h
@@ -19,8 +19,8 @@
 
   explicit FlowFleet(std::size_t Balancers);
 
-  GossipFleet &news() { return *News_; }
-  void run(Micros For) { News_->run(RunTo_ += For); }
+  GossipFleet &gossip() { return *Gossip_; }
+  void run(Micros For) { Gossip_->run(RunTo_ += For); }
   void kill(std::size_t Which);
   void restart(std::size_t Which);
 
@@ -81,7 +81,7 @@
   std::vector<OpenFlow> Flows_;
   RoutingTable Table_;
   std::map<Endpoint, std::set<ServiceId>> AllowedServices_;
-  std::unique_ptr<GossipFleet> News_;
+  std::unique_ptr<GossipFleet> Gossip_;
   Micros RunTo_{}; ///< End of the last run, in virtual time.
   std::uint64_t LastUpstream_ = 1000;
   std::uint16_t LastPort_ = 1000;
--- a/test/news-fleet.cc
+++ b/test/news-fleet.cc
@@ -62,7 +62,7 @@
     return publish(Which, std::nullopt);
   UpstreamEntry E;
   E.Incarnation_ = Which;
-  E.At_ = Endpoint::v4(static_cast<std::uint32_t>(R), 9000);
+  E.Address_ = Endpoint::v4(static_cast<std::uint32_t>(R), 9000);
   return publish(Which, E);
 }
 
@@ -362,7 +362,7 @@
 GossipFleet::currentResponse(const ConfigRequest &Request) const {
   ConfigResponse Response;
   Response.Outcome_ = ConfigResponse::Outcome::Done;
-  Response.Batch_.Whole_ = Request.Kind_ != ConfigRequest::Kind::Watch;
+  Response.Batch_.IsSnapshot_ = Request.Kind_ != ConfigRequest::Kind::Watch;
   Response.Batch_.After_ = Request.After_;
   Response.Batch_.Through_ = Log_.size();
   bool Stale = Request.Kind_ == ConfigRequest::Kind::StaleList;
@@ -374,17 +374,17 @@
   for (std::size_t I = Request.After_; I < End; ++I)
     Last[Log_[I].Incarnation_] = Log_[I];
   for (const auto &[Which, Change] : Last)
-    if (Change.Entry_ || !Response.Batch_.Whole_)
+    if (Change.Entry_ || !Response.Batch_.IsSnapshot_)
       Response.Batch_.Changes_.push_back(Change);
-  if (Response.Batch_.Whole_ || RoutingAt_ > Request.After_) {
+  if (Response.Batch_.IsSnapshot_ || RoutingAt_ > Request.After_) {
     Response.Routing_ = std::make_shared<RoutingTable>(Table_);
   }
   Response.Evacuations_ = currentEvacuations(Request, End);
   if (Stale) {
     Response.Outcome_ = ConfigResponse::Outcome::Stale;
-    Response.Batch_.Whole_ = false;
+    Response.Batch_.IsSnapshot_ = false;
     Response.Batch_.Through_ = 0;
-    Response.Evacuations_.Whole_ = false;
+    Response.Evacuations_.IsSnapshot_ = false;
     Response.Evacuations_.Through_ = 0;
     keepReadParts(Request, Response);
   }
@@ -416,14 +416,14 @@
 EvacuationBatch GossipFleet::currentEvacuations(const ConfigRequest &Request,
                                                 Revision End) const {
   EvacuationBatch Batch;
-  Batch.Whole_ = Request.Kind_ != ConfigRequest::Kind::Watch;
+  Batch.IsSnapshot_ = Request.Kind_ != ConfigRequest::Kind::Watch;
   Batch.Through_ = End;
   std::map<std::string, EvacuationChange> Last;
   for (const EvacuationChange &Change : EvacuationLog_)
-    if (Change.At_ > Request.After_ && Change.At_ <= End)
+    if (Change.Revision_ > Request.After_ && Change.Revision_ <= End)
       Last[Change.DataHall_] = Change;
   for (const auto &[DataHall, Change] : Last)
-    if (Change.Evacuated_ || !Batch.Whole_)
+    if (Change.Evacuated_ || !Batch.IsSnapshot_)
       Batch.Changes_.push_back(Change);
   return Batch;
 }
--- a/test/news-start-test.cc
+++ b/test/news-start-test.cc
@@ -15,7 +15,7 @@
   for (std::uint64_t I = 1; I <= Count; ++I) {
     UpstreamEntry E;
     E.Incarnation_ = Incarnation{1000 + I};
-    E.At_ = Endpoint::v4(static_cast<std::uint32_t>(1000 + I), 9000);
+    E.Address_ = Endpoint::v4(static_cast<std::uint32_t>(1000 + I), 9000);
     Fleet.publish(E.Incarnation_, E);
   }
   Fleet.setStaleListAge(1s);
--- a/test/news-test.cc
+++ b/test/news-test.cc
@@ -232,7 +232,7 @@
           ErrorKind::None);
   const StateUpdate &Received = std::get<StateUpdate>(Out);
   CHECK(Received.Routing_->coldFlowsPerSecond(ServiceId{7}) == 2.5);
-  CHECK(Received.Evacuations_.Whole_);
+  CHECK(Received.Evacuations_.IsSnapshot_);
   CHECK(Received.Evacuations_.Through_ == 9);
   CHECK(Received.Evacuations_.Changes_ == Sent.Evacuations_.Changes_);
 }
@@ -250,7 +250,7 @@
   UpstreamEntry E;
   E.Incarnation_ = Incarnation{2};
   E.Service_ = ServiceId{3};
-  E.At_ = Endpoint::v4(7, 8);
+  E.Address_ = Endpoint::v4(7, 8);
   E.DataHall_ = "hall";
   E.Slots_ = 3;
   E.Draining_ = true;
@@ -259,8 +259,8 @@
   E.Part_ = 200;
   UpstreamEntry Six = E;
   Six.Incarnation_ = Incarnation{3};
-  Six.At_ = parseEndpoint("[2001:db8::7]:8080");
-  REQUIRE_FALSE(Six.At_.empty());
+  Six.Address_ = parseEndpoint("[2001:db8::7]:8080");
+  REQUIRE_FALSE(Six.Address_.empty());
   Six.DataHall_ = "other";
   M.Upstreams_.Changes_.push_back({E.Incarnation_, 9, E});
   M.Upstreams_.Changes_.push_back({Six.Incarnation_, 9, Six});
--- a/test/packets.h
+++ b/test/packets.h
@@ -36,7 +36,8 @@
   UpstreamEntry E;
   E.Incarnation_ = Incarnation{Id};
   E.Service_ = Service;
-  E.At_ = Endpoint::v4(Address ? Address : 0x0a000000 + (Id & 0xffff), 9000);
+  E.Address_ =
+      Endpoint::v4(Address ? Address : 0x0a000000 + (Id & 0xffff), 9000);
   E.DataHall_ = DataHall;
   E.Slots_ = 2;
   E.Draining_ = Draining;
--- a/test/parts-exchange-test.cc
+++ b/test/parts-exchange-test.cc
@@ -20,7 +20,7 @@
 UpstreamChange listed(std::uint64_t Id, std::uint8_t Part) {
   UpstreamEntry E;
   E.Incarnation_ = Incarnation{Id};
-  E.At_ = Endpoint::v4(static_cast<std::uint32_t>(Id), 9000);
+  E.Address_ = Endpoint::v4(static_cast<std::uint32_t>(Id), 9000);
   E.Part_ = Part;
   return {E.Incarnation_, Id, E};
 }
@@ -61,7 +61,7 @@
   /// Receives an update without differences, through a revision.
   void noDifference(std::uint64_t Peer, Revision Through) {
     StateUpdate M;
-    M.Upstreams_.Whole_ = true;
+    M.Upstreams_.IsSnapshot_ = true;
     M.Upstreams_.Through_ = Through;
     M.Upstreams_.UnchangedParts_ = allParts();
     Gossip_.received(at(30ms), LinkId{Peer}, M);
--- a/test/published-test.cc
+++ b/test/published-test.cc
@@ -64,7 +64,7 @@
   REQUIRE(A.Changes_.size() == 1);
   const UpstreamEntry &E = *A.Changes_[0].Entry_;
   CHECK(E.Incarnation_ == Incarnation{0x7f3a91c2});
-  CHECK(E.At_ == parseEndpoint("10.128.0.9:8080"));
+  CHECK(E.Address_ == parseEndpoint("10.128.0.9:8080"));
   CHECK(E.DataHall_ == "ams-hall-a");
   CHECK(E.Slots_ == 3);
   CHECK_FALSE(E.Draining_);
--- a/test/reading-turn-test.cc
+++ b/test/reading-turn-test.cc
@@ -32,7 +32,7 @@
     Gossip_->opened(at(0s), LinkId{1}, false);
     ConfigResponse List;
     List.Outcome_ = ConfigResponse::Outcome::Done;
-    List.Batch_.Whole_ = true;
+    List.Batch_.IsSnapshot_ = true;
     List.Batch_.Through_ = 5;
     Gossip_->readSucceeded(at(0s), List, at(0s));
   }
--- a/test/silence-fleet.cc
+++ b/test/silence-fleet.cc
@@ -18,7 +18,7 @@
   UpstreamEntry E;
   E.Incarnation_ = Incarnation{Id};
   E.Service_ = Service;
-  E.At_ = Endpoint::v4(static_cast<std::uint32_t>(Id), 9000);
+  E.Address_ = Endpoint::v4(static_cast<std::uint32_t>(Id), 9000);
   return {E.Incarnation_, 1, E};
 }
 
--- a/test/three-upstreams.h
+++ b/test/three-upstreams.h
@@ -20,7 +20,7 @@
   UpstreamEntry E;
   E.Incarnation_ = Incarnation{Id};
   E.Service_ = ServiceId{1};
-  E.At_ = Endpoint::v4(static_cast<std::uint32_t>(Id), 9000);
+  E.Address_ = Endpoint::v4(static_cast<std::uint32_t>(Id), 9000);
   E.Draining_ = Draining;
   return {E.Incarnation_, 1, E};
 }
--- a/test/upstream-address-test.cc
+++ b/test/upstream-address-test.cc
@@ -26,7 +26,7 @@
       ++Other;
     SuccessorChange_ = up(7);
     SuccessorChange_.Revision_ = 5;
-    SuccessorChange_.Entry_->At_ = up(FirstId_).Entry_->At_;
+    SuccessorChange_.Entry_->Address_ = up(FirstId_).Entry_->Address_;
     SuccessorChange_.Entry_->Service_ = ServiceId{2};
   }
 
--- a/test/upstream-codec-test.cc
+++ b/test/upstream-codec-test.cc
@@ -15,7 +15,7 @@
   E.Incarnation_ = Incarnation{0x7f3a91c200 + Id};
   E.StartTimeMs_ = 1772424720123 + Id;
   E.Service_ = ServiceId{0x9e3779b9};
-  E.At_ = Endpoint::v4(static_cast<std::uint32_t>(0x0a034000 + Id), 8241);
+  E.Address_ = Endpoint::v4(static_cast<std::uint32_t>(0x0a034000 + Id), 8241);
   E.DataHall_ = "ams-hall-" + std::string(1, static_cast<char>('a' + Id % 5));
   E.Slots_ = 2;
   E.WarmAt_ = Now;
--- a/test/upstream-list-test.cc
+++ b/test/upstream-list-test.cc
@@ -11,7 +11,7 @@
   UpstreamEntry E;
   E.Incarnation_ = Incarnation{Id};
   E.Service_ = ServiceId{1};
-  E.At_ = Endpoint::v4(static_cast<std::uint32_t>(Id), 9000);
+  E.Address_ = Endpoint::v4(static_cast<std::uint32_t>(Id), 9000);
   E.Slots_ = Slots;
   return E;
 }
@@ -86,15 +86,15 @@
   REQUIRE(apply(List, {true, 0, 10, {put(1, 4), put(2, 9)}, {}}));
   REQUIRE(apply(List, {false, 10, 13, {gone(1, 11), put(3, 12)}, {}}));
   UpstreamBatch Delta = List.changesSince(10);
-  CHECK_FALSE(Delta.Whole_);
+  CHECK_FALSE(Delta.IsSnapshot_);
   CHECK(Delta.Changes_.size() == 2);
   CHECK(List.changesSince(9)
-            .Whole_); // removals before the snapshot are not known
+            .IsSnapshot_); // removals before the snapshot are not known
   for (Revision R = 14; R < 20 + 2 * UpstreamList::MaxTombstones; R += 2)
     REQUIRE(
         apply(List, {false, R - 1, R + 1, {put(R, R), gone(R, R + 1)}, {}}));
-  CHECK(List.changesSince(13).Whole_);
-  CHECK_FALSE(List.changesSince(List.through() - 4).Whole_);
+  CHECK(List.changesSince(13).IsSnapshot_);
+  CHECK_FALSE(List.changesSince(List.through() - 4).IsSnapshot_);
 }
 
 TEST_CASE("a snapshot omits the entries that the receiver has") {
@@ -104,7 +104,7 @@
       apply(Receiver, {true, 0, 10, {put(1, 4), put(2, 9), put(3, 3)}, {}}));
   REQUIRE(apply(Sender, {true, 0, 20, {put(1, 4), put(2, 15, 7)}, {}}));
   UpstreamBatch Batch = Sender.changesSince(Receiver.through());
-  CHECK(Batch.Whole_);
+  CHECK(Batch.IsSnapshot_);
   CHECK(Batch.Changes_.size() == 1);
   CHECK(Batch.Unchanged_ == std::vector<Incarnation>{Incarnation{1}});
   REQUIRE(apply(Receiver, Batch));
--- a/test/upstream-restart-test.cc
+++ b/test/upstream-restart-test.cc
@@ -54,11 +54,11 @@
   }
   SUBCASE("the takeover of its address by another upstream") {
     UpstreamChange Next = startedUpstream(7, 150, 8);
-    Next.Entry_->At_ = up(R.RestartedId_).Entry_->At_;
+    Next.Entry_->Address_ = up(R.RestartedId_).Entry_->Address_;
     B.B_.applyUpstreams(at(100ms), {Next});
     REQUIRE_FALSE(B.takesFlows(R.RestartedId_, 150ms));
     UpstreamChange Again = startedUpstream(R.RestartedId_, 200, 10);
-    Again.Entry_->At_ = Endpoint::v4(0x0a00ff01, 9000);
+    Again.Entry_->Address_ = Endpoint::v4(0x0a00ff01, 9000);
     B.B_.applyUpstreams(at(400ms), {Again});
     CHECK(B.takesFlows(R.RestartedId_, 450ms));
   }
