--- a/include/thymewall/balancer.h
+++ b/include/thymewall/balancer.h
@@ -11,7 +11,7 @@
 ///                    .incarnation(Incarnation{42})
 ///                    .seed(1)
 ///                    .keys({Secret, Secret})
-///                    .zones(zoneClock())
+///                    .zones(timeZoneClock())
 ///                    .build();
 ///   ActionSink Sink = [](const Action &A) { ... };
 ///   B.handle(Now, DeclarationRead{Declaration}, Sink);
@@ -52,8 +52,8 @@
 /// A valid declaration was read from the platform or a peer.
 struct DeclarationRead {
   DeclarationPtr Declaration_;
-  /// That of the `RefreshDocuments` which this answers, or 0. Answers to an
-  /// earlier one don't make the core ready.
+  /// Identifier of the `RefreshDocuments` action that this answers, or 0.
+  /// Answers to an earlier action do not make the core ready.
   std::uint64_t RefreshId_ = 0;
 };
 /// A source has no newer declaration than the one in force.
@@ -104,9 +104,10 @@
 struct DeclarationApplied {
   DeclarationPtr Declaration_;
 };
-/// The process was suspended: reread the platform's and the peers' documents.
+/// The process was suspended: read the documents from the platform and the
+/// peers again.
 struct RefreshDocuments {
-  std::uint64_t RefreshId_ = 0; ///< To be returned with the answers.
+  std::uint64_t RefreshId_ = 0; ///< To be repeated in the answers.
 };
 /// Sends the succession to every peer.
 struct BroadcastSuccession {
--- a/include/thymewall/held-packets.h
+++ b/include/thymewall/held-packets.h
@@ -1,7 +1,7 @@
 /// \file
 /// Buffer for packets that arrive before the balancer has a routing table or an
-/// upstream for them. Without it each would cost its caller a retransmission
-/// timeout of 200 ms to 1.6 s.
+/// upstream for them. Dropping them would cost each caller a retransmission
+/// timeout.
 #ifndef THYMEWALL_HELD_PACKETS_H
 #define THYMEWALL_HELD_PACKETS_H
 
@@ -16,10 +16,10 @@
 /// FIFO of undelivered packets, bounded in age and number.
 class HeldPackets {
 public:
-  /// Packets older than this are dropped. Callers give up on an opening packet
-  /// after 1.4 s.
+  /// Packets older than this are dropped; shorter than the time for which a
+  /// caller retries an opening.
   static constexpr Micros MaxAge = std::chrono::milliseconds(1200);
-  /// About twice the number of packets that a host receives in `MaxAge`.
+  /// Bounds the memory use.
   static constexpr std::size_t MaxPackets = 2048;
 
   /// Returns false if the packet cannot be forwarded yet.
--- a/include/thymewall/intent-reader.h
+++ b/include/thymewall/intent-reader.h
@@ -15,8 +15,8 @@
 /// A call of the configuration service.
 struct ConfigRequest {
   enum class Kind : std::uint8_t {
-    /// A list that may be some seconds old and costs a tenth of a current one:
-    /// everything, or some parts of a long list.
+    /// A list that may be some seconds old and is much cheaper than a current
+    /// one: everything, or some parts of a long list.
     StaleList,
     List, ///< The full current list.
     Watch ///< Changes since a revision, as soon as there are any.
@@ -56,13 +56,11 @@
   static constexpr Micros WatchTimeout = std::chrono::milliseconds(500);
   /// Pause after changes, so that one call collects several of them.
   static constexpr Micros PauseAfterChange = std::chrono::milliseconds(300);
-  /// Deadline for a response beyond the duration of its watch. The service
-  /// answers within milliseconds, or 0.3 s when it is slow.
+  /// Deadline for a response, in addition to the duration of its watch.
   static constexpr Micros ResponseTimeout = std::chrono::milliseconds(1000);
   /// Wait for peers after a stale list, plus up to `PeerUpdateJitter`, before
-  /// the current list is read. Links open and a list arrives within tens of
-  /// milliseconds; when a whole fleet starts, the first readers inform the
-  /// others within half a second. The stale list serves callers meanwhile.
+  /// the current list is read. When a whole fleet starts, the first readers
+  /// inform the others in this time. The stale list serves callers meanwhile.
   static constexpr Micros PeerUpdateWait = std::chrono::milliseconds(100);
   static constexpr Micros PeerUpdateJitter = std::chrono::milliseconds(900);
   /// Shorter waits for a short list: its stale state costs callers more than
@@ -72,9 +70,8 @@
   static constexpr Micros PeerUpdateJitterPerUpstream =
       std::chrono::microseconds(1500);
   /// Wait for peers after some parts of a long list, plus up to
-  /// `MaxFleetJitter`, before the full list is read. A full list takes about a
-  /// second to read, and hundreds of readers at once would saturate the
-  /// service's link.
+  /// `MaxFleetJitter`, before the full list is read. Hundreds of readers of a
+  /// full list at once would saturate the service's link.
   static constexpr Micros PartsExchangeWait = std::chrono::milliseconds(2500);
   /// The same wait for a seed. All others connect to the seeds first, so only
   /// these read the full list when a fleet starts.
@@ -110,9 +107,10 @@
   /// processes that share the service.
   void answered(MonoTime Now, const ConfigResponse &Response,
                 std::size_t FleetSize);
-  /// All changes through \p Through are known, from the service or from peers.
+  /// Records that all changes through \p Through are known, from the service or
+  /// from peers.
   void noteRevision(Revision Through);
-  /// No peer is available: ends a wait for peers.
+  /// Ends a wait for peers because none is available.
   void noPeersFound(MonoTime Now);
   /// Makes the next call read the full list.
   void requestList() { ListNeeded_ = true; }
--- a/include/thymewall/list-parts.h
+++ b/include/thymewall/list-parts.h
@@ -22,8 +22,7 @@
 /// open flows, or the full list if it is short.
 class PartReadPlan {
 public:
-  /// A list with fewer upstreams per part is short: less than about 1,000 in
-  /// total.
+  /// A list with fewer upstreams per part is short.
   static constexpr std::size_t MinUpstreamsPerPart = 4;
   /// Enough upstreams to spread the flows of one balancer.
   static constexpr std::size_t MinUpstreamsAtStart = 64;
--- a/include/thymewall/news-message.h
+++ b/include/thymewall/news-message.h
@@ -24,7 +24,7 @@
 };
 
 /// Sent on every link once per `GossipNode::HeartbeatInterval`, and at once
-/// when the sender's state was confirmed more recently.
+/// when a newer confirmation of the sender's state arrives.
 struct PeerHeartbeat {
   /// Age of the state of a sender that has never heard from the configuration
   /// service.
@@ -85,7 +85,7 @@
 using GossipMessage =
     std::variant<PeerHeartbeat, StateRequest, StateUpdate, UpstreamWarning>;
 
-/// Fits 67,000 upstreams of about 60 bytes each.
+/// Fits a full list of tens of thousands of upstreams.
 constexpr std::size_t MaxGossipMessageBytes = 8 << 20;
 
 /// Encodes \p M. Deadlines of upstreams are sent as the time left at \p Now.
--- a/include/thymewall/news.h
+++ b/include/thymewall/news.h
@@ -79,10 +79,10 @@
   /// at most this long ago. Bounds how much a delayed message can understate
   /// the age of its state.
   static constexpr Micros MaxEchoAge = std::chrono::milliseconds(1200);
-  /// State older than this lets the next balancer read. The reader confirms
-  /// every 0.5 s, or every 1.1 s while there are changes. Each further rank
-  /// waits one more step; the steps aren't bounded in a large fleet, where all
-  /// balancers beyond the bound would read at once.
+  /// State older than this lets the next balancer read; longer than the
+  /// interval between two confirmations of a reader. Each further rank waits
+  /// one more step. In a large fleet the steps aren't bounded, as all balancers
+  /// beyond the bound would read at once.
   static constexpr Micros TakeoverAge = std::chrono::milliseconds(1500);
   static constexpr Micros TakeoverStep = std::chrono::milliseconds(100);
   /// Minimum advance of the first live balancer's last sign of life that is
@@ -97,9 +97,9 @@
   /// Delay per rank of the first read after a start, so that few balancers of a
   /// fleet that starts at once read before the first shares its state.
   static constexpr Micros StartupReadStep = std::chrono::milliseconds(10);
-  /// Pause after a balancer's first read: time for peers to report the current
-  /// reader. Links open within tens of milliseconds, and the reader confirms
-  /// every 0.5 s.
+  /// Pause after a balancer's first read: time for links to open and for peers
+  /// to report the current reader, which confirms once per
+  /// `ConfigReader::WatchTimeout`.
   static constexpr Micros FirstReadPause = std::chrono::milliseconds(700);
   /// State older than this means that the configuration service had an outage.
   static constexpr Micros OutageAge = std::chrono::milliseconds(2500);
@@ -118,15 +118,15 @@
   /// to and are disconnected; otherwise a seed would hold a link to every
   /// balancer of a fleet that starts.
   static constexpr std::size_t MaxInboundLinks = 32;
-  /// Approximate number of upstreams requested from one peer at a time by a
-  /// balancer that starts; a message of about 40 KB.
+  /// Approximate number of upstreams that a starting balancer requests from one
+  /// peer at a time. Bounds the size of the response.
   static constexpr std::size_t UpstreamsPerRequest = 768;
 
   /// A warning is forwarded at most once in this interval.
   static constexpr Micros WarningInterval = std::chrono::milliseconds(1000);
-  /// Bound per kind of warning. On 6 links, at 24 bytes plus TCP headers, it
-  /// limits the loss of a whole data hall to 45 KB. Counting kinds apart keeps
-  /// stalls from crowding out dead upstreams.
+  /// Maximum number of warnings of each kind that are sent in an interval.
+  /// Bounds the traffic when a whole data hall is lost. Kinds are counted apart
+  /// so that stalls don't crowd out dead upstreams.
   static constexpr std::size_t MaxWarningsPerInterval = 128;
 
   GossipNode(GossipOptions Options, GossipHooks Hooks);
@@ -134,20 +134,21 @@
 
   void opened(MonoTime Now, LinkId Link, bool Outbound);
   void closed(MonoTime Now, LinkId Link);
-  /// An attempt to connect to \p Control has failed.
+  /// Records that an attempt to connect to \p Control has failed.
   void connectFailed(MonoTime Now, const Endpoint &Control);
   void received(MonoTime Now, LinkId Link, const GossipMessage &M);
   /// The configuration service has answered with a state that was complete at
   /// \p AsOf. Returns false if changes are missing and the full list must be
   /// read.
-  bool readSucceeded(MonoTime Now, const ConfigResponse &Answer, MonoTime AsOf);
+  bool readSucceeded(MonoTime Now, const ConfigResponse &Response,
+                     MonoTime AsOf);
   /// A stale list was read. It suffices to serve callers, but doesn't make the
   /// state current.
-  void staleListRead(MonoTime Now, const ConfigResponse &Answer);
+  void staleListRead(MonoTime Now, const ConfigResponse &Response);
   /// A call of the configuration service failed; another balancer may take
   /// over.
   void readFailed();
-  /// This balancer has begun to read the full list for the fleet.
+  /// Records that this balancer has begun to read the full list for the fleet.
   void listReadStarted(MonoTime Now);
   /// Sends a warning about an upstream to the fleet.
   void warn(MonoTime Now, const UpstreamWarning &M);
--- a/include/thymewall/packet-balancer.h
+++ b/include/thymewall/packet-balancer.h
@@ -165,7 +165,8 @@
   /// Lifetime of a flow's row and of a removed upstream's row.
   Micros MaxFlowAge_ = std::chrono::seconds(60);
   std::uint32_t MaxFlows_ = 200'000;
-  /// `Over_` and `Slack_` apply to every service that publishes a limit.
+  /// `BurstFactor_` and `BurstAllowance_` apply to every service that publishes
+  /// a limit.
   ColdLimit Cold_;
 };
 
--- a/include/thymewall/silence-evidence.h
+++ b/include/thymewall/silence-evidence.h
@@ -3,10 +3,10 @@
 /// many of them it takes to blame the upstream.
 ///
 /// When hosts return after an outage, the fabric moves many flows to them at
-/// once. The balancers that forwarded the pending requests miss their answers,
-/// about one for each of many healthy upstreams. An upstream that hangs fails
-/// request after request. So the threshold rises with the share of the service
-/// that fails too.
+/// once, and the balancers that forwarded the pending requests miss their
+/// answers: about one for each of many healthy upstreams. An upstream that
+/// hangs fails request after request. The threshold therefore rises with the
+/// share of the service's other upstreams that have failures.
 #ifndef THYMEWALL_SILENCE_EVIDENCE_H
 #define THYMEWALL_SILENCE_EVIDENCE_H
 
--- a/include/thymewall/unanswered-openings.h
+++ b/include/thymewall/unanswered-openings.h
@@ -16,19 +16,19 @@
 /// Queue of recently forwarded opening packets with their deadlines.
 class UnansweredOpenings {
 public:
-  /// Lower bound of the timeout, used until delays are measured. The caller's
-  /// acknowledgement usually takes 5 to 12 ms.
+  /// Lower bound of the timeout, used until delays are measured. Well above the
+  /// usual delay of the caller's acknowledgement.
   static constexpr Micros MinTimeout = std::chrono::milliseconds(40);
   /// Upper bound of the timeout. A longer one would gain too little over the
-  /// caller's own retransmission.
+  /// caller's retransmission.
   static constexpr Micros MaxTimeout = std::chrono::milliseconds(160);
   /// The caller's retransmission timeout for an opening packet.
   static constexpr Micros CallerRetransmitAfter =
       std::chrono::milliseconds(200);
-  /// A call of `takeExpired` this late means that the process was suspended, so
-  /// that answers may still be queued in its socket.
+  /// A call of `takeExpired` this late means that the process was suspended;
+  /// answers may still be queued in its socket.
   static constexpr Micros LateThreshold = std::chrono::milliseconds(20);
-  /// Far more openings than a host forwards in `MinTimeout`.
+  /// Bounds the memory use; far more openings than await an answer at a time.
   static constexpr std::size_t MaxPackets = 1024;
 
   using ExpiryHandler =
--- a/src/balancer-process.cc
+++ b/src/balancer-process.cc
@@ -22,11 +22,11 @@
 
 namespace {
 
-/// For documents that answer no `RefreshDocuments`; not enough after a late
-/// wake.
+/// Identifier of documents that answer no `RefreshDocuments`. After a late wake
+/// they do not make the core ready.
 constexpr std::uint64_t NoRefresh = 0;
-/// While the platform is down, a whole fleet makes about 1,000 calls per second
-/// (two documents per host, before jitter).
+/// Maximum retry delay for each host of the fleet. Bounds the rate of calls of
+/// the whole fleet while the platform is down.
 constexpr std::chrono::milliseconds MaxRetryDelayPerHost(2);
 constexpr auto WatchReviewInterval = std::chrono::seconds(1);
 
--- a/src/packet-balancer-evidence.cc
+++ b/src/packet-balancer-evidence.cc
@@ -22,8 +22,8 @@
 
 /// A request counts as unanswered after this multiple of the service's average
 /// delay, but not before `MinStallTimeout`, if its upstream has sent no answer
-/// since. Requests take up to 6 times the average; the minimum allows for two
-/// lost packets of the caller.
+/// since. The factor is above the spread of normal delays; the minimum allows
+/// for two lost packets of the caller.
 constexpr int StallDelayFactor = 8;
 constexpr Micros MinStallTimeout = std::chrono::milliseconds(600);
 /// Ejection time, which doubles with each consecutive ejection up to
@@ -36,12 +36,13 @@
 /// Minimum number of short answers for an ejection; correct answers may be
 /// short occasionally.
 constexpr std::size_t MinShortAnswers = 2;
-/// Minimum share of short answers, among those that an upstream gives in
-/// `SilenceEvidence::CountsFor`, for its first ejection. An overloaded upstream
-/// still serves most requests; ejecting it would overload the others in turn.
+/// Minimum share of short answers in `FailureEvidence::CountingWindow` for the
+/// first ejection of an upstream. An overloaded upstream still serves most
+/// requests; ejecting it would overload the others in turn.
 constexpr double MinShortAnswerShare = 0.12;
-/// Share of well upstreams that short answers may eject by chance. Smaller than
-/// for unanswered requests because full queues cause a few at every upstream.
+/// Share of healthy upstreams that short answers may eject by chance. Smaller
+/// than for unanswered requests because full queues cause a few short answers
+/// at every upstream.
 constexpr double FalsePositiveShare = 0.0005;
 
 Micros recheckDelay(std::uint32_t Rechecks) {
@@ -79,8 +80,8 @@
 }
 
 /// Checks upstreams that peers reported dead and rechecks the dead ones that
-/// are still published. The ticks of the balancers spread the checks over 250
-/// ms.
+/// are still published. Balancers tick at different times, which spreads the
+/// checks over `TickInterval`.
 void PacketBalancer::Impl::runDueChecks() {
   for (std::uint32_t Index = 0; Index < UpstreamStates_.size(); ++Index) {
     UpstreamState &State = UpstreamStates_[Index];
@@ -250,7 +251,7 @@
 }
 
 /// Estimates how many answers an upstream of the service gives to the whole
-/// fleet in `SilenceEvidence::CountsFor`, from those seen here.
+/// fleet in `FailureEvidence::CountingWindow`, from those seen here.
 double
 PacketBalancer::Impl::expectedAnswers(const ServiceState &Service) const {
   std::size_t Upstreams = std::max<std::size_t>(Service.Eligible_.size(), 1);
