--- a/include/thymewall/intent-reader.h
+++ b/include/thymewall/config-reader.h
@@ -2,8 +2,8 @@
 /// Schedules calls of the configuration service. The reader makes no call
 /// itself: its owner asks which call is due, makes it and passes the response
 /// back.
-#ifndef THYMEWALL_INTENT_READER_H
-#define THYMEWALL_INTENT_READER_H
+#ifndef THYMEWALL_CONFIG_READER_H
+#define THYMEWALL_CONFIG_READER_H
 
 #include "thymewall/evacuation.h"
 #include "thymewall/list-parts.h"
--- a/include/thymewall/news-message.h
+++ b/include/thymewall/gossip-message.h
@@ -1,8 +1,8 @@
 /// \file
 /// Gossip messages between packet balancers: heartbeats, requests and updates
 /// of the published state, and warnings about upstreams. Encoded as CBOR.
-#ifndef THYMEWALL_NEWS_MESSAGE_H
-#define THYMEWALL_NEWS_MESSAGE_H
+#ifndef THYMEWALL_GOSSIP_MESSAGE_H
+#define THYMEWALL_GOSSIP_MESSAGE_H
 
 #include "thymewall/evacuation.h"
 #include "thymewall/routing.h"
--- a/include/thymewall/news.h
+++ b/include/thymewall/gossip.h
@@ -7,12 +7,12 @@
 /// partitioned or refused is replaced because its state ages.
 ///
 /// Does no I/O: links are numbers that the caller assigns to its connections.
-#ifndef THYMEWALL_NEWS_H
-#define THYMEWALL_NEWS_H
+#ifndef THYMEWALL_GOSSIP_H
+#define THYMEWALL_GOSSIP_H
 
 #include "thymewall/cold-admission.h"
-#include "thymewall/intent-reader.h"
-#include "thymewall/news-message.h"
+#include "thymewall/config-reader.h"
+#include "thymewall/gossip-message.h"
 
 #include <functional>
 #include <map>
--- a/src/news-impl.h
+++ b/src/gossip-impl.h
@@ -1,13 +1,13 @@
 /// \file
-/// Implementation of `GossipNode`: state and choice of the reader (news.cc),
-/// links and heartbeats (news-links.cc), starts from parts of the list
-/// (news-parts.cc).
-#ifndef THYMEWALL_SRC_NEWS_IMPL_H
-#define THYMEWALL_SRC_NEWS_IMPL_H
+/// Implementation of `GossipNode`: state and choice of the reader (gossip.cc),
+/// links and heartbeats (gossip-links.cc), starts from parts of the list
+/// (gossip-parts.cc).
+#ifndef THYMEWALL_SRC_GOSSIP_IMPL_H
+#define THYMEWALL_SRC_GOSSIP_IMPL_H
 
 #include "member-list.h"
 #include "peer-choice.h"
-#include "thymewall/news.h"
+#include "thymewall/gossip.h"
 
 #include <algorithm>
 #include <deque>
--- a/src/news-links.cc
+++ b/src/gossip-links.cc
@@ -1,4 +1,4 @@
-#include "news-impl.h"
+#include "gossip-impl.h"
 
 #include <algorithm>
 
--- a/src/news-message.cc
+++ b/src/gossip-message.cc
@@ -1,4 +1,4 @@
-#include "thymewall/news-message.h"
+#include "thymewall/gossip-message.h"
 
 #include "upstream-codec.h"
 
--- a/src/news.cc
+++ b/src/gossip.cc
@@ -1,5 +1,5 @@
+#include "gossip-impl.h"
 #include "mechanism.h"
-#include "news-impl.h"
 
 #include <algorithm>
 #include <cmath>
--- a/src/member-list.h
+++ b/src/member-list.h
@@ -3,7 +3,7 @@
 #ifndef THYMEWALL_SRC_MEMBER_LIST_H
 #define THYMEWALL_SRC_MEMBER_LIST_H
 
-#include "thymewall/news-message.h"
+#include "thymewall/gossip-message.h"
 
 #include <functional>
 #include <map>
--- a/src/packet-log.h
+++ b/src/packet-log.h
@@ -3,7 +3,7 @@
 #ifndef THYMEWALL_SRC_PACKET_LOG_H
 #define THYMEWALL_SRC_PACKET_LOG_H
 
-#include "thymewall/intent-reader.h"
+#include "thymewall/config-reader.h"
 #include "thymewall/log.h"
 #include "thymewall/packet-balancer.h"
 
--- a/src/packet-pages.h
+++ b/src/packet-pages.h
@@ -5,8 +5,8 @@
 
 #include "peer-traffic.h"
 #include "process-pages.h"
+#include "thymewall/gossip.h"
 #include "thymewall/metrics.h"
-#include "thymewall/news.h"
 #include "thymewall/packet-balancer.h"
 
 namespace thymewall::detail {
--- a/src/packet-process.h
+++ b/src/packet-process.h
@@ -4,7 +4,7 @@
 #ifndef THYMEWALL_SRC_PACKET_PROCESS_H
 #define THYMEWALL_SRC_PACKET_PROCESS_H
 
-#include "thymewall/intent-reader.h"
+#include "thymewall/config-reader.h"
 #include "thymewall/packet-balancer.h"
 #include "thymewall/packet-settings.h"
 
--- a/src/peer-choice.h
+++ b/src/peer-choice.h
@@ -4,7 +4,7 @@
 #ifndef THYMEWALL_SRC_PEER_CHOICE_H
 #define THYMEWALL_SRC_PEER_CHOICE_H
 
-#include "thymewall/news-message.h"
+#include "thymewall/gossip-message.h"
 
 namespace thymewall::detail {
 
--- a/src/peer-links.h
+++ b/src/peer-links.h
@@ -4,7 +4,7 @@
 #ifndef THYMEWALL_SRC_PEER_LINKS_H
 #define THYMEWALL_SRC_PEER_LINKS_H
 
-#include "thymewall/news.h"
+#include "thymewall/gossip.h"
 
 #include <asio/io_context.hpp>
 
--- a/test/intent-reader-test.cc
+++ b/test/config-reader-test.cc
@@ -1,4 +1,4 @@
-#include "thymewall/intent-reader.h"
+#include "thymewall/config-reader.h"
 
 #include <doctest/doctest.h>
 
--- a/test/ended-answers-test.cc
+++ b/test/ended-answers-test.cc
@@ -1,5 +1,5 @@
 // Checks which peers a starting balancer asks for ended upstreams.
-#include "thymewall/news.h"
+#include "thymewall/gossip.h"
 
 #include <doctest/doctest.h>
 #include <set>
--- a/test/evacuation-test.cc
+++ b/test/evacuation-test.cc
@@ -1,7 +1,7 @@
 /// \file
 /// Evacuations are applied correctly in any order and at any age of updates,
 /// and reach a whole fleet on virtual time despite faults.
-#include "news-fleet.h"
+#include "gossip-fleet.h"
 
 #include <doctest/doctest.h>
 #include <rapidcheck.h>
--- a/test/fleet-start-test.cc
+++ b/test/fleet-start-test.cc
@@ -1,6 +1,6 @@
 // Load on the configuration service and on members when a fleet starts at once:
 // it must not grow with the product of balancers and upstreams.
-#include "news-fleet.h"
+#include "gossip-fleet.h"
 #include "peer-choice.h"
 #include "thymewall/list-parts.h"
 
--- a/test/flow-fleet.h
+++ b/test/flow-fleet.h
@@ -5,7 +5,7 @@
 #ifndef THYMEWALL_TEST_FLOW_FLEET_H
 #define THYMEWALL_TEST_FLOW_FLEET_H
 
-#include "news-fleet.h"
+#include "gossip-fleet.h"
 #include "thymewall/packet-balancer.h"
 
 namespace thymewall::test {
--- a/test/news-fleet.cc
+++ b/test/gossip-fleet.cc
@@ -1,4 +1,4 @@
-#include "news-fleet.h"
+#include "gossip-fleet.h"
 
 #include <algorithm>
 
--- a/test/news-fleet.h
+++ b/test/gossip-fleet.h
@@ -1,12 +1,12 @@
 /// \file
 /// Test fleet of gossip nodes and config readers on virtual time, with a
 /// simulated configuration service, link failures and outages.
-#ifndef THYMEWALL_TEST_NEWS_FLEET_H
-#define THYMEWALL_TEST_NEWS_FLEET_H
+#ifndef THYMEWALL_TEST_GOSSIP_FLEET_H
+#define THYMEWALL_TEST_GOSSIP_FLEET_H
 
 #include "event-queue.h"
-#include "thymewall/intent-reader.h"
-#include "thymewall/news.h"
+#include "thymewall/config-reader.h"
+#include "thymewall/gossip.h"
 
 #include <map>
 #include <set>
--- a/test/news-start-test.cc
+++ b/test/gossip-start-test.cc
@@ -1,6 +1,6 @@
 // Load of starts and outages on the configuration service, and the time until a
 // fleet has current state.
-#include "news-fleet.h"
+#include "gossip-fleet.h"
 
 #include <doctest/doctest.h>
 
--- a/test/news-test.cc
+++ b/test/gossip-test.cc
@@ -1,4 +1,4 @@
-#include "news-fleet.h"
+#include "gossip-fleet.h"
 
 #include <doctest/doctest.h>
 #include <rapidcheck.h>
--- a/test/parts-exchange-test.cc
+++ b/test/parts-exchange-test.cc
@@ -1,5 +1,5 @@
 // Late copies of a list part must not replace the part during a start.
-#include "thymewall/news.h"
+#include "thymewall/gossip.h"
 
 #include <doctest/doctest.h>
 #include <ostream>
--- a/test/reading-turn-test.cc
+++ b/test/reader-takeover-test.cc
@@ -1,7 +1,7 @@
 // When a balancer of a large fleet takes over reading the configuration
 // service: after all lower ranks, or soon in a network partition without them.
 #include "peer-choice.h"
-#include "thymewall/news.h"
+#include "thymewall/gossip.h"
 
 #include <algorithm>
 #include <doctest/doctest.h>
