--- a/include/thymewall/silence-evidence.h
+++ b/include/thymewall/failure-evidence.h
@@ -7,8 +7,8 @@
 /// answers: about one for each of many healthy upstreams. An upstream that
 /// hangs fails request after request. The threshold therefore rises with the
 /// share of the service's other upstreams that have failures.
-#ifndef THYMEWALL_SILENCE_EVIDENCE_H
-#define THYMEWALL_SILENCE_EVIDENCE_H
+#ifndef THYMEWALL_FAILURE_EVIDENCE_H
+#define THYMEWALL_FAILURE_EVIDENCE_H
 
 #include "thymewall/core.h"
 
--- a/src/silence-evidence.cc
+++ b/src/failure-evidence.cc
@@ -1,4 +1,4 @@
-#include "thymewall/silence-evidence.h"
+#include "thymewall/failure-evidence.h"
 
 #include <algorithm>
 #include <cmath>
--- a/src/packet-balancer-impl.h
+++ b/src/packet-balancer-impl.h
@@ -10,8 +10,8 @@
 #include "packet-flow.h"
 #include "recent-count.h"
 #include "thymewall/answer-sizes.h"
+#include "thymewall/failure-evidence.h"
 #include "thymewall/packet-balancer.h"
-#include "thymewall/silence-evidence.h"
 
 #include <set>
 #include <unordered_map>
--- a/src/path-witness.h
+++ b/src/peer-probes.h
@@ -4,8 +4,8 @@
 /// A large transfer over a slow link delays all answers, so that checks of
 /// healthy upstreams time out. So peers are probed at the start of each
 /// attempt, and its timeout counts only if one of them answered in time.
-#ifndef THYMEWALL_SRC_PATH_WITNESS_H
-#define THYMEWALL_SRC_PATH_WITNESS_H
+#ifndef THYMEWALL_SRC_PEER_PROBES_H
+#define THYMEWALL_SRC_PEER_PROBES_H
 
 #include "thymewall/core.h"
 
--- a/src/upstream-checker.cc
+++ b/src/upstream-checker.cc
@@ -1,7 +1,7 @@
 #include "upstream-checker.h"
 
 #include "clock.h"
-#include "path-witness.h"
+#include "peer-probes.h"
 #include "udp-socket.h"
 
 #include <asio/ip/tcp.hpp>
--- a/test/silence-evidence-test.cc
+++ b/test/failure-evidence-test.cc
@@ -1,7 +1,7 @@
 // Thresholds of failed requests, alone and in simulated fleets whose hosts fail
 // and return.
-#include "silence-fleet.h"
-#include "thymewall/silence-evidence.h"
+#include "stall-fleet.h"
+#include "thymewall/failure-evidence.h"
 
 #include <doctest/doctest.h>
 
--- a/test/path-witness-test.cc
+++ b/test/peer-probes-test.cc
@@ -1,6 +1,6 @@
 /// \file
 /// Checks of upstreams while a large transfer congests the host's link.
-#include "path-witness.h"
+#include "peer-probes.h"
 
 #include <doctest/doctest.h>
 #include <optional>
--- a/test/silence-fleet.cc
+++ b/test/stall-fleet.cc
@@ -1,4 +1,4 @@
-#include "silence-fleet.h"
+#include "stall-fleet.h"
 
 namespace thymewall::test {
 
--- a/test/silence-fleet.h
+++ b/test/stall-fleet.h
@@ -2,8 +2,8 @@
 /// Simulates packet balancers of one service whose hosts fail and return and
 /// whose upstreams hang, in virtual time and without randomness. For tests of
 /// what balancers conclude from unanswered requests.
-#ifndef THYMEWALL_TEST_SILENCE_FLEET_H
-#define THYMEWALL_TEST_SILENCE_FLEET_H
+#ifndef THYMEWALL_TEST_STALL_FLEET_H
+#define THYMEWALL_TEST_STALL_FLEET_H
 
 #include "event-queue.h"
 #include "thymewall/packet-balancer.h"
