--- a/include/thymewall/zone.h
+++ b/include/thymewall/time-zone.h
@@ -1,7 +1,7 @@
 /// \file
 /// Local times from the IANA time zone database.
-#ifndef THYMEWALL_ZONE_H
-#define THYMEWALL_ZONE_H
+#ifndef THYMEWALL_TIME_ZONE_H
+#define THYMEWALL_TIME_ZONE_H
 
 #include "thymewall/declaration.h"
 
--- a/src/balancer-process.cc
+++ b/src/balancer-process.cc
@@ -7,7 +7,7 @@
 #include "thymewall/balancer.h"
 #include "thymewall/log.h"
 #include "thymewall/metrics.h"
-#include "thymewall/zone.h"
+#include "thymewall/time-zone.h"
 #include "udp-socket.h"
 
 #include <asio/signal_set.hpp>
--- a/src/ctl-main.cc
+++ b/src/ctl-main.cc
@@ -4,7 +4,7 @@
 #include "program.h"
 #include "thymewall/host-list.h"
 #include "thymewall/settings.h"
-#include "thymewall/zone.h"
+#include "thymewall/time-zone.h"
 
 #include <date/date.h>
 #include <httplib.h>
--- a/src/observed-delay.h
+++ b/src/moving-average-delay.h
@@ -1,7 +1,7 @@
 /// \file
 /// Moving average of a delay.
-#ifndef THYMEWALL_SRC_OBSERVED_DELAY_H
-#define THYMEWALL_SRC_OBSERVED_DELAY_H
+#ifndef THYMEWALL_SRC_MOVING_AVERAGE_DELAY_H
+#define THYMEWALL_SRC_MOVING_AVERAGE_DELAY_H
 
 #include "thymewall/core.h"
 
--- a/src/packet-balancer-impl.h
+++ b/src/packet-balancer-impl.h
@@ -6,7 +6,7 @@
 #ifndef THYMEWALL_SRC_PACKET_BALANCER_IMPL_H
 #define THYMEWALL_SRC_PACKET_BALANCER_IMPL_H
 
-#include "observed-delay.h"
+#include "moving-average-delay.h"
 #include "packet-flow.h"
 #include "recent-count.h"
 #include "thymewall/answer-sizes.h"
--- a/src/zone.cc
+++ b/src/time-zone.cc
@@ -1,4 +1,4 @@
-#include "thymewall/zone.h"
+#include "thymewall/time-zone.h"
 
 #include <date/tz.h>
 
--- a/test/declaration-test.cc
+++ b/test/declaration-test.cc
@@ -1,6 +1,6 @@
 #include "thymewall/declaration.h"
 
-#include "thymewall/zone.h"
+#include "thymewall/time-zone.h"
 
 #include <boost/leaf/handle_errors.hpp>
 #include <doctest/doctest.h>
