--- a/include/thymewall/packet-settings.h
+++ b/include/thymewall/packet-settings.h
@@ -12,16 +12,17 @@
 struct PacketSettings {
   std::string Name_;
   std::string DataHall_;
-  Endpoint Packets_;           ///< Callers' packets arrive here.
-  Endpoint Readiness_;         ///< Asked by the fabric.
-  Endpoint Control_;           ///< Peers' connections arrive here.
-  Endpoint AdvertisedControl_; ///< What peers are told; default: the same.
-  Endpoint Configuration_;     ///< The configuration service.
+  Endpoint PacketAddress_;    ///< Callers' packets arrive here.
+  Endpoint ReadinessAddress_; ///< Asked by the fabric.
+  Endpoint ControlAddress_;   ///< Peers' connections arrive here.
+  Endpoint
+      AdvertisedControlAddress_;  ///< What peers are told; default: the same.
+  Endpoint ConfigServiceAddress_; ///< The configuration service.
   std::uint16_t MetricsPort_ = 0;
   std::vector<Endpoint> Seeds_; ///< Control addresses of a few peers.
-  Micros RoutingWithin_{};      ///< A routing table must be in force by then.
-  Micros StopWithin_{};         ///< After a stop signal, before force is used.
-  Micros FlowLimit_{};          ///< A flow older than this may be forgotten.
+  Micros MaxRoutingDelay_{};    ///< A routing table must be in force by then.
+  Micros StopTimeout_{};        ///< After a stop signal, before force is used.
+  Micros MaxFlowAge_{};         ///< A flow older than this may be forgotten.
   /// How far what a cold upstream gets may go over what its service publishes:
   /// so many times, and so many flows a second more.
   double ColdOver_ = 1;
@@ -35,8 +36,8 @@
 
 /// The keys of \p Wanted that differ from \p Running and can't change while a
 /// process runs: its name, its place and the addresses that it has bound.
-std::vector<std::string> needRestart(const PacketSettings &Running,
-                                     const PacketSettings &Wanted);
+std::vector<std::string> keysNeedingRestart(const PacketSettings &Running,
+                                            const PacketSettings &Wanted);
 
 } // namespace thymewall
 
--- a/src/packet-process-control.cc
+++ b/src/packet-process-control.cc
@@ -44,7 +44,7 @@
 
 /// Without its metrics a balancer still serves: a port in use is only told.
 void PacketProcess::Impl::serveMetrics() {
-  Endpoint Where = Settings_.Readiness_;
+  Endpoint Where = Settings_.ReadinessAddress_;
   Where.Port_ = Settings_.MetricsPort_;
   try {
     Metrics_.emplace(
@@ -110,7 +110,7 @@
   MonoTime Now = monoNow();
   News_.setLeaving(Now);
   StopFrom_ = Now + FabricNotices;
-  StopBy_ = Now + std::max(Settings_.StopWithin_ - StopMargin, Micros(0));
+  StopBy_ = Now + std::max(Settings_.StopTimeout_ - StopMargin, Micros(0));
 }
 
 /// Takes changed settings in; those that need a restart are only told.
@@ -118,16 +118,16 @@
   std::optional<PacketSettings> Wanted = Watch_.read();
   if (!Wanted)
     return;
-  for (const std::string &Key : needRestart(Settings_, *Wanted))
+  for (const std::string &Key : keysNeedingRestart(Settings_, *Wanted))
     logState("settings_need_restart", {{"key", Key}});
   Settings_.Seeds_ = Wanted->Seeds_;
   News_.setSeeds(Wanted->Seeds_);
-  Settings_.StopWithin_ = Wanted->StopWithin_;
-  Settings_.RoutingWithin_ = Wanted->RoutingWithin_;
-  Settings_.FlowLimit_ = Wanted->FlowLimit_;
+  Settings_.StopTimeout_ = Wanted->StopTimeout_;
+  Settings_.MaxRoutingDelay_ = Wanted->MaxRoutingDelay_;
+  Settings_.MaxFlowAge_ = Wanted->MaxFlowAge_;
   Settings_.ColdOver_ = Wanted->ColdOver_;
   Settings_.ColdSlack_ = Wanted->ColdSlack_;
-  Core_.setLimits(resetWhenKnown(Settings_), Settings_.FlowLimit_,
+  Core_.setLimits(resetWhenKnown(Settings_), Settings_.MaxFlowAge_,
                   Settings_.ColdOver_, Settings_.ColdSlack_);
   logState("settings_reloaded", {{"cause", Cause}});
 }
--- a/src/packet-process-impl.h
+++ b/src/packet-process-impl.h
@@ -34,7 +34,7 @@
 /// second of the bound is left for the packet's way and for the clocks.
 inline Micros resetWhenKnown(const PacketSettings &S) {
   constexpr Micros Margin = std::chrono::milliseconds(500);
-  return std::max(S.RoutingWithin_ - Margin, Micros(0));
+  return std::max(S.MaxRoutingDelay_ - Margin, Micros(0));
 }
 
 class PacketProcess::Impl {
--- a/src/packet-process.cc
+++ b/src/packet-process.cc
@@ -22,12 +22,12 @@
 }
 
 GossipOptions newsOptions(const PacketSettings &S) {
-  return {{S.Name_, S.DataHall_, S.AdvertisedControl_, 0}, S.Seeds_};
+  return {{S.Name_, S.DataHall_, S.AdvertisedControlAddress_, 0}, S.Seeds_};
 }
 
 bool isSeed(const PacketSettings &S) {
-  return std::find(S.Seeds_.begin(), S.Seeds_.end(), S.AdvertisedControl_) !=
-         S.Seeds_.end();
+  return std::find(S.Seeds_.begin(), S.Seeds_.end(),
+                   S.AdvertisedControlAddress_) != S.Seeds_.end();
 }
 
 const char *nameOf(DelayClass Class) {
@@ -39,7 +39,7 @@
                         WarningHook OnWarning) {
   return PacketBalancerBuilder()
       .maxStalenessForReset(resetWhenKnown(S))
-      .maxFlowAge(S.FlowLimit_)
+      .maxFlowAge(S.MaxFlowAge_)
       .coldOver(S.ColdOver_, S.ColdSlack_)
       .onDecision(logDecisionOn)
       .onUpstreamEvent(logBelief)
@@ -57,7 +57,7 @@
                           std::string SettingsPath, PlatformHooks Hooks)
     : Context_(Context), Settings_(Configured), Watch_(std::move(SettingsPath)),
       Hooks_(std::move(Hooks)),
-      Packets_(Context, Settings_.Packets_,
+      Packets_(Context, Settings_.PacketAddress_,
                [this](const Endpoint &, const std::uint8_t *Data,
                       std::size_t Size) { onPacket(Data, Size); }),
       Core_(makeCore(
@@ -73,11 +73,12 @@
                        std::size_t Size) { retryOpening(Now, Data, Size); }),
       Checker_(Context, checkerHooks()),
       Reader_(randomShare(), isSeed(Settings_)),
-      Call_(Hooks_.MakeCaller_(Context, Settings_.Configuration_)),
-      Links_(Context, Settings_.Control_, MaxGossipMessageBytes, linkHooks()),
+      Call_(Hooks_.MakeCaller_(Context, Settings_.ConfigServiceAddress_)),
+      Links_(Context, Settings_.ControlAddress_, MaxGossipMessageBytes,
+             linkHooks()),
       News_(newsOptions(Settings_), newsHooks()),
       Readiness_(
-          Context, Settings_.Readiness_,
+          Context, Settings_.ReadinessAddress_,
           [this](const std::string &Target, const HttpServer::Reply &Answer) {
             Answer(readinessPage(pathOf(Target)));
           }),
@@ -87,7 +88,7 @@
   Core_.onBalancerJoined(monoNow()); // others may come with it
   awaitSignal();
   serveMetrics();
-  logState("started", {{"packets", formatEndpoint(Settings_.Packets_)},
+  logState("started", {{"packets", formatEndpoint(Settings_.PacketAddress_)},
                        {"data_hall", Settings_.DataHall_}});
   review();
 }
@@ -150,7 +151,7 @@
   std::uint8_t Buffer[MaxPacket];
   std::size_t Length = Hooks_.EncodeReset_(R, Buffer);
   Endpoint To = R.Caller_;
-  To.Port_ = Settings_.Packets_.Port_;
+  To.Port_ = Settings_.PacketAddress_.Port_;
   Packets_.send(To, Buffer, Length);
 }
 
--- a/src/packet-settings.cc
+++ b/src/packet-settings.cc
@@ -23,9 +23,10 @@
 
 bool operator==(const PacketSettings &A, const PacketSettings &B) {
   auto Fields = [](const PacketSettings &S) {
-    return std::tie(S.Name_, S.DataHall_, S.Packets_, S.Readiness_, S.Control_,
-                    S.AdvertisedControl_, S.Configuration_, S.MetricsPort_,
-                    S.Seeds_, S.RoutingWithin_, S.StopWithin_, S.FlowLimit_,
+    return std::tie(S.Name_, S.DataHall_, S.PacketAddress_, S.ReadinessAddress_,
+                    S.ControlAddress_, S.AdvertisedControlAddress_,
+                    S.ConfigServiceAddress_, S.MetricsPort_, S.Seeds_,
+                    S.MaxRoutingDelay_, S.StopTimeout_, S.MaxFlowAge_,
                     S.ColdOver_, S.ColdSlack_);
   };
   return Fields(A) == Fields(B);
@@ -41,19 +42,19 @@
   PacketSettings S;
   S.Name_ = Reader.string("name");
   S.DataHall_ = Reader.string("data_hall");
-  S.Packets_ = Reader.endpoint("packets");
-  S.Readiness_ = Reader.endpoint("readiness");
-  S.Control_ = Reader.endpoint("control");
-  S.AdvertisedControl_ = Reader.has("advertised_control")
-                             ? Reader.endpoint("advertised_control")
-                             : S.Control_;
-  S.Configuration_ = Reader.endpoint("configuration");
+  S.PacketAddress_ = Reader.endpoint("packets");
+  S.ReadinessAddress_ = Reader.endpoint("readiness");
+  S.ControlAddress_ = Reader.endpoint("control");
+  S.AdvertisedControlAddress_ = Reader.has("advertised_control")
+                                    ? Reader.endpoint("advertised_control")
+                                    : S.ControlAddress_;
+  S.ConfigServiceAddress_ = Reader.endpoint("configuration");
   S.MetricsPort_ =
       static_cast<std::uint16_t>(Reader.integer("metrics_port", 1, 65535));
   S.Seeds_ = detail::readEndpoints(Reader, "seeds", true, Found);
-  S.RoutingWithin_ = readMs(Reader, "routing_within_ms");
-  S.StopWithin_ = readMs(Reader, "stop_within_ms");
-  S.FlowLimit_ = readMs(Reader, "flow_limit_ms");
+  S.MaxRoutingDelay_ = readMs(Reader, "routing_within_ms");
+  S.StopTimeout_ = readMs(Reader, "stop_within_ms");
+  S.MaxFlowAge_ = readMs(Reader, "flow_limit_ms");
   S.ColdOver_ = Reader.numberOr("cold_over", 1, 0, MostColdOver);
   S.ColdSlack_ = Reader.numberOr("cold_slack", 0, 0, MostColdSlack);
   Reader.finish();
@@ -62,8 +63,8 @@
   return S;
 }
 
-std::vector<std::string> needRestart(const PacketSettings &Running,
-                                     const PacketSettings &Wanted) {
+std::vector<std::string> keysNeedingRestart(const PacketSettings &Running,
+                                            const PacketSettings &Wanted) {
   std::vector<std::string> Keys;
   auto Compare = [&](const char *Key, bool Same) {
     if (!Same)
@@ -71,12 +72,13 @@
   };
   Compare("name", Running.Name_ == Wanted.Name_);
   Compare("data_hall", Running.DataHall_ == Wanted.DataHall_);
-  Compare("packets", Running.Packets_ == Wanted.Packets_);
-  Compare("readiness", Running.Readiness_ == Wanted.Readiness_);
-  Compare("control", Running.Control_ == Wanted.Control_);
-  Compare("advertised_control",
-          Running.AdvertisedControl_ == Wanted.AdvertisedControl_);
-  Compare("configuration", Running.Configuration_ == Wanted.Configuration_);
+  Compare("packets", Running.PacketAddress_ == Wanted.PacketAddress_);
+  Compare("readiness", Running.ReadinessAddress_ == Wanted.ReadinessAddress_);
+  Compare("control", Running.ControlAddress_ == Wanted.ControlAddress_);
+  Compare("advertised_control", Running.AdvertisedControlAddress_ ==
+                                    Wanted.AdvertisedControlAddress_);
+  Compare("configuration",
+          Running.ConfigServiceAddress_ == Wanted.ConfigServiceAddress_);
   Compare("metrics_port", Running.MetricsPort_ == Wanted.MetricsPort_);
   return Keys;
 }
--- a/test/packet-settings-test.cc
+++ b/test/packet-settings-test.cc
@@ -46,8 +46,8 @@
 TEST_CASE("good settings") {
   CHECK(problems(good()).empty());
   PacketSettings S = parsed(good());
-  CHECK(S.Packets_ == parseEndpoint("10.0.0.1:8172"));
-  CHECK(S.RoutingWithin_ == std::chrono::seconds(3));
+  CHECK(S.PacketAddress_ == parseEndpoint("10.0.0.1:8172"));
+  CHECK(S.MaxRoutingDelay_ == std::chrono::seconds(3));
   CHECK(S.Seeds_.size() == 1);
 }
 
@@ -77,9 +77,9 @@
   Changed["packets"] = "10.0.0.1:9999";
   Changed["seeds"] = Json::array();
   Changed["flow_limit_ms"] = 1000;
-  CHECK(needRestart(parsed(good()), parsed(Changed)) ==
+  CHECK(keysNeedingRestart(parsed(good()), parsed(Changed)) ==
         std::vector<std::string>{"packets"});
-  CHECK(needRestart(parsed(good()), parsed(good())).empty());
+  CHECK(keysNeedingRestart(parsed(good()), parsed(good())).empty());
 }
 
 TEST_CASE("what a cold upstream may get beyond its limit is optional") {
