--- a/include/thymewall/packet-settings.h
+++ b/include/thymewall/packet-settings.h
@@ -34,10 +34,10 @@
 boost::leaf::result<PacketSettings>
 parsePacketSettings(const std::string &Text, const std::string &File);
 
-/// The keys of \p Wanted that differ from \p Running and can't change while a
+/// The keys of \p Changed that differ from \p Running and can't change while a
 /// process runs: its name, its place and the addresses that it has bound.
 std::vector<std::string> keysNeedingRestart(const PacketSettings &Running,
-                                            const PacketSettings &Wanted);
+                                            const PacketSettings &Changed);
 
 } // namespace thymewall
 
--- a/soak/soak-world.cc
+++ b/soak/soak-world.cc
@@ -29,7 +29,7 @@
 /// A packet as either end of a flow writes it.
 std::vector<std::uint8_t> build(const Endpoint &From, const Endpoint &To,
                                 const Packet &Fields, std::uint8_t Flags) {
-  std::vector<std::uint8_t> Bytes(platform::HeadSize + Fields.DataSize_);
+  std::vector<std::uint8_t> Bytes(platform::HeaderSize + Fields.DataSize_);
   ResetFlow Addresses{To, From, Fields.Sequence_, ErrorKind::None};
   platform::encodeReset(Addresses, Bytes.data());
   Bytes[12] = static_cast<std::uint8_t>(Fields.DataSize_);
--- a/src/control-plane.cc
+++ b/src/control-plane.cc
@@ -101,7 +101,7 @@
     onMessage(Id, Bytes);
   };
   Result.OnClose_ = [this](LinkId Id) { Links_.erase(Id); };
-  Result.OnFailed_ = [this](const std::string &Target) {
+  Result.OnConnectFailed_ = [this](const std::string &Target) {
     Connecting_.erase(Target);
   };
   return Result;
--- a/src/packet-log.cc
+++ b/src/packet-log.cc
@@ -7,7 +7,7 @@
 
 namespace {
 
-const char *eventOf(Decision::Kind Kind) {
+const char *eventName(Decision::Kind Kind) {
   switch (Kind) {
   case Decision::Kind::Opened:
     return "flow_opened";
@@ -23,7 +23,7 @@
   return "";
 }
 
-const char *eventOf(UpstreamEvent::Kind Kind) {
+const char *eventName(UpstreamEvent::Kind Kind) {
   switch (Kind) {
   case UpstreamEvent::Kind::Listed:
     return "upstream_listed";
@@ -76,7 +76,7 @@
   return Text;
 }
 
-void logDecisionOn(const Decision &D) {
+void logPacketDecision(const Decision &D) {
   LogFields Fields = {{"caller", formatEndpoint(D.Caller_)},
                       {"address", formatEndpoint(D.Service_)}};
   if (D.Kind_ == Decision::Kind::Refused) {
@@ -92,10 +92,10 @@
   Fields.emplace_back("routing_version", D.RoutingVersion_);
   if (D.HasConfirmation_)
     Fields.emplace_back("knowledge_age_ms", millis(D.KnowledgeAge_));
-  logDecision(eventOf(D.Kind_), Fields);
+  logDecision(eventName(D.Kind_), Fields);
 }
 
-void logBelief(const UpstreamEvent &B) {
+void logUpstreamEvent(const UpstreamEvent &B) {
   LogFields Fields = {{"upstream", formatIncarnation(B.Upstream_)},
                       {"address", formatEndpoint(B.At_)},
                       {"revision", B.Revision_}};
@@ -108,7 +108,7 @@
                         B.Evidence_);
     Fields.emplace_back("needed", B.Needed_);
   }
-  logDecision(eventOf(B.Kind_), Fields);
+  logDecision(eventName(B.Kind_), Fields);
 }
 
 void logReset(const ResetFlow &R) {
@@ -123,8 +123,8 @@
               {{"data_hall", Change.DataHall_}, {"revision", Change.At_}});
 }
 
-void logUpstreams(const std::vector<UpstreamChange> &Changes,
-                  Revision Through) {
+void logUpstreamSummary(const std::vector<UpstreamChange> &Changes,
+                        Revision Through) {
   auto Listed = std::count_if(
       Changes.begin(), Changes.end(),
       [](const UpstreamChange &C) { return C.Entry_ && !C.Ended_; });
@@ -138,11 +138,11 @@
                                    {"addresses", Table.Addresses_.size()}});
 }
 
-void ServiceLog::answered(MonoTime Now, const ConfigResponse &Answer) {
-  bool Served = Answer.Outcome_ == ConfigResponse::Outcome::Done ||
-                Answer.Outcome_ == ConfigResponse::Outcome::Stale ||
-                Answer.Outcome_ == ConfigResponse::Outcome::HistoryGone;
-  if (Answer.Outcome_ == ConfigResponse::Outcome::HistoryGone)
+void ConfigServiceLog::answered(MonoTime Now, const ConfigResponse &Response) {
+  bool Served = Response.Outcome_ == ConfigResponse::Outcome::Done ||
+                Response.Outcome_ == ConfigResponse::Outcome::Stale ||
+                Response.Outcome_ == ConfigResponse::Outcome::HistoryGone;
+  if (Response.Outcome_ == ConfigResponse::Outcome::HistoryGone)
     logDecision("history_gone", {});
   if (Served == !failing())
     return;
@@ -152,12 +152,13 @@
     FailedAt_ = MonoTime{};
     return;
   }
-  Write_("configuration_service_call_failed",
-         {{"outcome", nameOf(Answer.Outcome_)}, {"reason", Answer.Reason_}});
+  Write_(
+      "configuration_service_call_failed",
+      {{"outcome", nameOf(Response.Outcome_)}, {"reason", Response.Reason_}});
   FailedAt_ = Now;
 }
 
-void ServiceLog::confirmed(MonoTime AsOf) {
+void ConfigServiceLog::confirmed(MonoTime AsOf) {
   if (!failing() || AsOf <= FailedAt_)
     return;
   Write_("configuration_service_read_by_peer",
--- a/src/packet-log.h
+++ b/src/packet-log.h
@@ -12,24 +12,26 @@
 /// An upstream's incarnation as lines and pages show it: hexadecimal.
 std::string formatIncarnation(Incarnation Which);
 
-void logDecisionOn(const Decision &D);
-void logBelief(const UpstreamEvent &B);
+void logPacketDecision(const Decision &D);
+void logUpstreamEvent(const UpstreamEvent &B);
 void logReset(const ResetFlow &R);
 void logEvacuation(const EvacuationChange &Change);
 /// Many changes of the list at once: their numbers in place of a line each.
-void logUpstreams(const std::vector<UpstreamChange> &Changes, Revision Through);
+void logUpstreamSummary(const std::vector<UpstreamChange> &Changes,
+                        Revision Through);
 void logRouting(const RoutingTable &Table);
 
 /// Tells what this process knows of the configuration service: that calls to it
 /// have begun to fail, and then either that one was served again or that a peer
 /// reads it, so that this process no longer calls.
-class ServiceLog {
+class ConfigServiceLog {
 public:
   using Writer = std::function<void(std::string_view, const LogFields &)>;
 
-  explicit ServiceLog(Writer Write = logState) : Write_(std::move(Write)) {}
+  explicit ConfigServiceLog(Writer Write = logState)
+      : Write_(std::move(Write)) {}
 
-  void answered(MonoTime Now, const ConfigResponse &Answer);
+  void answered(MonoTime Now, const ConfigResponse &Response);
   /// All that was published up to \p AsOf is known, whoever read it.
   void confirmed(MonoTime AsOf);
 
--- a/src/packet-pages.cc
+++ b/src/packet-pages.cc
@@ -9,22 +9,23 @@
 namespace {
 
 using Json = nlohmann::json;
-using Number = std::pair<std::string, std::uint64_t>;
+using NamedValue = std::pair<std::string, std::uint64_t>;
 
 void addTraffic(
-    const char *Way,
-    const std::array<PeerTraffic::Count, PeerTraffic::Kinds> &Counts,
-    std::vector<Number> &To) {
-  for (std::size_t Kind = 0; Kind < PeerTraffic::Kinds; ++Kind) {
-    std::string Of = std::string(PeerTraffic::Names[Kind]) + "_" + Way;
-    To.emplace_back("peer_messages_" + Of, Counts[Kind].Messages_);
-    To.emplace_back("peer_bytes_" + Of, Counts[Kind].Bytes_);
+    const char *Direction,
+    const std::array<PeerTraffic::TrafficCount, PeerTraffic::KindCount> &Counts,
+    std::vector<NamedValue> &To) {
+  for (std::size_t Kind = 0; Kind < PeerTraffic::KindCount; ++Kind) {
+    std::string Suffix =
+        std::string(PeerTraffic::KindNames[Kind]) + "_" + Direction;
+    To.emplace_back("peer_messages_" + Suffix, Counts[Kind].Messages_);
+    To.emplace_back("peer_bytes_" + Suffix, Counts[Kind].Bytes_);
   }
 }
 
-std::vector<Number> numbers(const PacketReport &R) {
+std::vector<NamedValue> counterValues(const PacketReport &R) {
   const PacketCounters &C = R.Counters_;
-  std::vector<Number> Result = {
+  std::vector<NamedValue> Result = {
       {"flows", R.Status_.Flows_},
       {"data_halls_evacuated", R.Status_.EvacuatedHalls_.size()},
       {"table_bytes", R.Status_.MemoryBytes_},
@@ -40,21 +41,21 @@
       {"upstreams_failing", C.Failing_},
       {"late_wakes", C.LateWakes_},
       {"malformed", R.Malformed_},
-      {"heartbeats_sent", R.News_.HeartbeatsSent_},
-      {"news_sent", R.News_.UpdatesSent_},
-      {"news_taken", R.News_.UpdatesReceived_},
-      {"news_gaps", R.News_.RevisionGaps_},
-      {"warnings_sent", R.News_.WarningsSent_},
-      {"stale_claims", R.News_.StaleConfirmations_},
-      {"peer_links", R.News_.Links_},
-      {"peers", R.News_.Members_},
+      {"heartbeats_sent", R.Gossip_.HeartbeatsSent_},
+      {"news_sent", R.Gossip_.UpdatesSent_},
+      {"news_taken", R.Gossip_.UpdatesReceived_},
+      {"news_gaps", R.Gossip_.RevisionGaps_},
+      {"warnings_sent", R.Gossip_.WarningsSent_},
+      {"stale_claims", R.Gossip_.StaleConfirmations_},
+      {"peer_links", R.Gossip_.Links_},
+      {"peers", R.Gossip_.Members_},
       {"service_calls", R.ServiceCalls_},
       {"service_failures", R.ServiceFailures_},
       {"service_items_refused", R.RefusedItems_},
-      {"reads_for_fleet", R.Reads_ ? 1U : 0U},
+      {"reads_for_fleet", R.ReadsForFleet_ ? 1U : 0U},
       {"log_lines_dropped", R.LogLinesDropped_}};
-  addTraffic("sent", R.Traffic_.allSent(), Result);
-  addTraffic("received", R.Traffic_.allReceived(), Result);
+  addTraffic("sent", R.Traffic_.sentByKind(), Result);
+  addTraffic("received", R.Traffic_.receivedByKind(), Result);
   for (std::size_t I = 1; I < C.Errors_.size(); ++I)
     if (C.Errors_[I] != 0)
       Result.emplace_back(
@@ -72,7 +73,7 @@
 
 std::string metricsText(const PacketReport &R) {
   std::string Text;
-  for (const Number &N : numbers(R))
+  for (const NamedValue &N : counterValues(R))
     Text += metricLine(N.first, static_cast<std::int64_t>(N.second));
   Text += metricLine("routing_version",
                      static_cast<std::int64_t>(R.Status_.RoutingVersion_));
@@ -117,7 +118,7 @@
                      {"control", formatEndpoint(P.Peer_.Control_)},
                      {"linked", P.Linked_}});
   Json Counters = Json::object();
-  for (const Number &N : numbers(R))
+  for (const NamedValue &N : counterValues(R))
     Counters[N.first] = N.second;
   Json Page = {
       {"kind", "packet"},
@@ -125,7 +126,7 @@
       {"version", R.Status_.RoutingVersion_},
       {"ready", R.Ready_},
       {"stopping", R.Stopping_},
-      {"reads_for_fleet", R.Reads_},
+      {"reads_for_fleet", R.ReadsForFleet_},
       {"knowledge_age_ms", knowledgeAgeMs(R)},
       {"counters", std::move(Counters)},
       {"evacuated_data_halls", R.Status_.EvacuatedHalls_},
--- a/src/packet-pages.h
+++ b/src/packet-pages.h
@@ -19,7 +19,7 @@
   MonoTime Now_{};
   PacketStatus Status_;
   PacketCounters Counters_;
-  GossipCounters News_;
+  GossipCounters Gossip_;
   PeerTraffic Traffic_;
   std::vector<MemberStatus> Peers_;
   RoutingTablePtr Routing_;
@@ -28,7 +28,8 @@
   std::uint64_t ServiceFailures_ = 0;
   std::uint64_t RefusedItems_ = 0;
   std::uint64_t LogLinesDropped_ = 0;
-  bool Reads_ = false; ///< Reads the configuration service for the fleet.
+  bool ReadsForFleet_ =
+      false; ///< Reads the configuration service for the fleet.
   const DelayMetrics *Delays_ = nullptr;
 };
 
--- a/src/packet-process-control.cc
+++ b/src/packet-process-control.cc
@@ -11,28 +11,28 @@
 
 /// The fabric asks for readiness twice a second and takes a balancer out after
 /// two bad answers; one more second for packets under way.
-constexpr Micros FabricNotices = std::chrono::milliseconds(2000);
+constexpr Micros FabricReactionTime = std::chrono::milliseconds(2000);
 /// No packet for this long after that: the fabric sends nothing any more.
-constexpr Micros QuietFor = std::chrono::milliseconds(1000);
+constexpr Micros QuietPeriod = std::chrono::milliseconds(1000);
 /// Before the platform would end the process by force.
 constexpr Micros StopMargin = std::chrono::milliseconds(600);
 
 } // namespace
 
-void PacketProcess::Impl::noteHall(MonoTime Now) {
-  if (News_.isDataHallLost(Now) == HallLost_)
+void PacketProcess::Impl::updateDataHallLost(MonoTime Now) {
+  if (Gossip_.isDataHallLost(Now) == DataHallLost_)
     return;
-  HallLost_ = !HallLost_;
-  logState(HallLost_ ? "data_hall_lost" : "data_hall_back",
+  DataHallLost_ = !DataHallLost_;
+  logState(DataHallLost_ ? "data_hall_lost" : "data_hall_back",
            {{"data_hall", Settings_.DataHall_}});
 }
 
 /// After a stop signal: forwards until the fabric sends nothing any more.
-void PacketProcess::Impl::endWhenQuiet(MonoTime Now) {
-  bool Quiet = Now >= StopFrom_ && Now - LastPacket_ >= QuietFor;
-  if (!Quiet && Now < StopBy_)
+void PacketProcess::Impl::stopIfQuiet(MonoTime Now) {
+  bool IsQuiet = Now >= EarliestStopAt_ && Now - LastPacketAt_ >= QuietPeriod;
+  if (!IsQuiet && Now < StopDeadline_)
     return;
-  logState("stopped", {{"quiet", Quiet}});
+  logState("stopped", {{"quiet", IsQuiet}});
   Context_.stop();
 }
 
@@ -49,8 +49,8 @@
   try {
     Metrics_.emplace(
         Context_, Where,
-        [this](const std::string &Target, const HttpServer::Reply &Answer) {
-          Answer(packetPage(report(), pathOf(Target)));
+        [this](const std::string &Target, const HttpServer::Reply &Response) {
+          Response(packetPage(report(), pathOf(Target)));
         });
   } catch (const std::system_error &Error) {
     logState("metrics_not_served",
@@ -62,25 +62,25 @@
   PacketReport R;
   R.Name_ = Settings_.Name_;
   R.Ready_ = ready();
-  R.Stopping_ = StopBy_ != MonoTime::max();
+  R.Stopping_ = StopDeadline_ != MonoTime::max();
   R.Now_ = monoNow();
   R.Status_ = Core_.status(R.Now_);
   R.Counters_ = Core_.counters();
-  R.News_ = News_.counters();
+  R.Gossip_ = Gossip_.counters();
   R.Traffic_ = Traffic_;
-  R.Peers_ = News_.peers();
+  R.Peers_ = Gossip_.peers();
   R.Routing_ = Routing_;
   R.Malformed_ = Malformed_;
   R.ServiceCalls_ = ServiceCalls_;
   R.ServiceFailures_ = ServiceFailures_;
   R.RefusedItems_ = RefusedItems_;
   R.LogLinesDropped_ = droppedLogLines();
-  R.Reads_ = News_.nextReadAt() <= R.Now_;
+  R.ReadsForFleet_ = Gossip_.nextReadAt() <= R.Now_;
   R.Delays_ = &Delays_;
   return R;
 }
 
-std::string PacketProcess::Impl::tenant(ServiceId Id) const {
+std::string PacketProcess::Impl::serviceLabel(ServiceId Id) const {
   return Routing_ ? Routing_->serviceName(Id) : std::to_string(raw(Id));
 }
 
@@ -91,53 +91,54 @@
     if (Signal == SIGHUP)
       onReloadSignal();
     else
-      startStop();
+      beginShutdown();
     awaitSignal();
   });
 }
 
 void PacketProcess::Impl::onReloadSignal() {
-  if (Watch_.changed())
-    takeSettings("signal");
+  if (Watch_.reread())
+    applySettings("signal");
   else
     logState("settings_unchanged", {{"cause", "signal"}});
 }
 
-void PacketProcess::Impl::startStop() {
-  if (StopBy_ != MonoTime::max())
+void PacketProcess::Impl::beginShutdown() {
+  if (StopDeadline_ != MonoTime::max())
     return;
   logState("stopping", {});
   MonoTime Now = monoNow();
-  News_.setLeaving(Now);
-  StopFrom_ = Now + FabricNotices;
-  StopBy_ = Now + std::max(Settings_.StopTimeout_ - StopMargin, Micros(0));
+  Gossip_.setLeaving(Now);
+  EarliestStopAt_ = Now + FabricReactionTime;
+  StopDeadline_ =
+      Now + std::max(Settings_.StopTimeout_ - StopMargin, Micros(0));
 }
 
 /// Takes changed settings in; those that need a restart are only told.
-void PacketProcess::Impl::takeSettings(const char *Cause) {
-  std::optional<PacketSettings> Wanted = Watch_.read();
-  if (!Wanted)
+void PacketProcess::Impl::applySettings(const char *Cause) {
+  std::optional<PacketSettings> Changed = Watch_.parse();
+  if (!Changed)
     return;
-  for (const std::string &Key : keysNeedingRestart(Settings_, *Wanted))
+  for (const std::string &Key : keysNeedingRestart(Settings_, *Changed))
     logState("settings_need_restart", {{"key", Key}});
-  Settings_.Seeds_ = Wanted->Seeds_;
-  News_.setSeeds(Wanted->Seeds_);
-  Settings_.StopTimeout_ = Wanted->StopTimeout_;
-  Settings_.MaxRoutingDelay_ = Wanted->MaxRoutingDelay_;
-  Settings_.MaxFlowAge_ = Wanted->MaxFlowAge_;
-  Settings_.ColdOver_ = Wanted->ColdOver_;
-  Settings_.ColdSlack_ = Wanted->ColdSlack_;
-  Core_.setLimits(resetWhenKnown(Settings_), Settings_.MaxFlowAge_,
+  Settings_.Seeds_ = Changed->Seeds_;
+  Gossip_.setSeeds(Changed->Seeds_);
+  Settings_.StopTimeout_ = Changed->StopTimeout_;
+  Settings_.MaxRoutingDelay_ = Changed->MaxRoutingDelay_;
+  Settings_.MaxFlowAge_ = Changed->MaxFlowAge_;
+  Settings_.ColdOver_ = Changed->ColdOver_;
+  Settings_.ColdSlack_ = Changed->ColdSlack_;
+  Core_.setLimits(resetStalenessLimit(Settings_), Settings_.MaxFlowAge_,
                   Settings_.ColdOver_, Settings_.ColdSlack_);
   logState("settings_reloaded", {{"cause", Cause}});
 }
 
-void PacketProcess::Impl::lookAtSettings(MonoTime Now) {
-  if (Now < NextSettingsLook_)
+void PacketProcess::Impl::pollSettings(MonoTime Now) {
+  if (Now < NextSettingsPollAt_)
     return;
-  NextSettingsLook_ = Now + SettingsLookEvery;
-  if (Watch_.changed())
-    takeSettings("file");
+  NextSettingsPollAt_ = Now + SettingsPollInterval;
+  if (Watch_.reread())
+    applySettings("file");
 }
 
 } // namespace thymewall::detail
--- a/src/packet-process-impl.h
+++ b/src/packet-process-impl.h
@@ -24,15 +24,15 @@
 namespace thymewall::detail {
 
 /// How often the settings file is looked at without a signal.
-constexpr Micros SettingsLookEvery = std::chrono::seconds(2);
+constexpr Micros SettingsPollInterval = std::chrono::seconds(2);
 
 /// A start reaches its first peer in some ten milliseconds, through a seed that
 /// hundreds ask at once in half a second.
-constexpr Micros FirstPeerWithin = std::chrono::milliseconds(1500);
+constexpr Micros FirstPeerTimeout = std::chrono::milliseconds(1500);
 
 /// How recent knowledge must be to say that an address is unknown. Half a
 /// second of the bound is left for the packet's way and for the clocks.
-inline Micros resetWhenKnown(const PacketSettings &S) {
+inline Micros resetStalenessLimit(const PacketSettings &S) {
   constexpr Micros Margin = std::chrono::milliseconds(500);
   return std::max(S.MaxRoutingDelay_ - Margin, Micros(0));
 }
@@ -45,37 +45,37 @@
 private:
   void onPacket(const std::uint8_t *Data, std::size_t Size);
   bool steer(MonoTime Now, const std::uint8_t *Data, std::size_t Size);
-  void releaseHeld();
-  void noteReady();
-  void noteCurrent();
+  void releaseHeldPackets();
+  void checkReady();
+  void logFirstConfirmation();
   void retryOpening(MonoTime Now, const std::uint8_t *Data, std::size_t Size);
-  void act(const Forward &F, const std::uint8_t *Data, std::size_t Size);
-  void act(const ResetFlow &R, const std::uint8_t *Data, std::size_t Size);
-  void act(const Dropped &D, const std::uint8_t *Data, std::size_t Size);
+  void execute(const Forward &F, const std::uint8_t *Data, std::size_t Size);
+  void execute(const ResetFlow &R, const std::uint8_t *Data, std::size_t Size);
+  void execute(const Dropped &D, const std::uint8_t *Data, std::size_t Size);
   PeerLinkHooks linkHooks();
   CheckerHooks checkerHooks();
-  MonoTime askPeers();
+  MonoTime probePeers();
   void onPong(const std::string &Bytes);
-  GossipHooks newsHooks();
+  GossipHooks gossipHooks();
   void onPeerMessage(LinkId Link, const std::string &Bytes);
   void sendReset(const ResetFlow &R);
-  void onAnswer(const ConfigResponse &Answer);
-  void review();
-  void endWhenQuiet(MonoTime Now);
-  void startCall(MonoTime Now);
+  void onConfigResponse(const ConfigResponse &Response);
+  void runDueWork();
+  void stopIfQuiet(MonoTime Now);
+  void startConfigCall(MonoTime Now);
   HttpPage readinessPage(const std::string &Path);
   void serveMetrics();
   PacketReport report();
-  std::string tenant(ServiceId Id) const;
+  std::string serviceLabel(ServiceId Id) const;
   bool ready() const {
-    return Core_.ready() && StopBy_ == MonoTime::max() && !HallLost_;
+    return Core_.ready() && StopDeadline_ == MonoTime::max() && !DataHallLost_;
   }
-  void noteHall(MonoTime Now);
+  void updateDataHallLost(MonoTime Now);
   void awaitSignal();
   void onReloadSignal();
-  void startStop();
-  void takeSettings(const char *Cause);
-  void lookAtSettings(MonoTime Now);
+  void beginShutdown();
+  void applySettings(const char *Cause);
+  void pollSettings(MonoTime Now);
 
   asio::io_context &Context_;
   PacketSettings Settings_;
@@ -87,31 +87,33 @@
   PacketBalancer Core_;
   HeldPackets Held_; ///< Until the core is ready or upstreams are published.
   OpeningRetries Openings_;
-  PeerProbes Path_;
+  PeerProbes Probes_;
   UpstreamChecker Checker_;
-  ConfigReader Reader_;
-  IntentCaller Call_;
+  ConfigReader ConfigReader_;
+  ConfigClient ConfigClient_;
   PeerLinks Links_;
-  GossipNode News_;
+  GossipNode Gossip_;
   PeerTraffic Traffic_;
   HttpServer Readiness_;
   std::optional<HttpServer> Metrics_;
-  ServiceLog ServiceLog_;
+  ConfigServiceLog ServiceLog_;
   asio::steady_timer Timer_;
   asio::signal_set Signals_;
   MonoTime NextTick_{};
-  MonoTime NextSettingsLook_{};
-  MonoTime LastPacket_{};
-  MonoTime PeersBy_{}; ///< Without any by then, none can tell of the list.
+  MonoTime NextSettingsPollAt_{};
+  MonoTime LastPacketAt_{};
+  MonoTime
+      FirstPeerDeadline_{}; ///< Without any by then, none can tell of the list.
   std::uint64_t Malformed_ = 0;
   std::uint64_t ServiceCalls_ = 0;
   std::uint64_t ServiceFailures_ = 0;
   std::uint64_t RefusedItems_ = 0; ///< Published ones that can't be read.
-  bool ReadyTold_ = false;
-  bool CurrentTold_ = false;
-  bool HallLost_ = false; ///< Other data halls serve callers better.
-  MonoTime StopFrom_ = MonoTime::max(); ///< Earliest end after a stop signal.
-  MonoTime StopBy_ = MonoTime::max();
+  bool ReadyLogged_ = false;
+  bool FirstConfirmationLogged_ = false;
+  bool DataHallLost_ = false; ///< Other data halls serve callers better.
+  MonoTime EarliestStopAt_ =
+      MonoTime::max(); ///< Earliest end after a stop signal.
+  MonoTime StopDeadline_ = MonoTime::max();
 };
 
 } // namespace thymewall::detail
--- a/src/packet-process-news.cc
+++ b/src/packet-process-news.cc
@@ -8,47 +8,50 @@
 
 namespace thymewall::detail {
 
-void PacketProcess::Impl::startCall(MonoTime Now) {
-  Reader_.noteRevision(News_.through());
-  std::optional<ConfigRequest> Call = Reader_.next(Now, News_.nextReadAt());
-  if (!Call)
+void PacketProcess::Impl::startConfigCall(MonoTime Now) {
+  ConfigReader_.noteRevision(Gossip_.through());
+  std::optional<ConfigRequest> Request =
+      ConfigReader_.next(Now, Gossip_.nextReadAt());
+  if (!Request)
     return;
   ++ServiceCalls_;
-  if (Call->Kind_ == ConfigRequest::Kind::List)
-    News_.listReadStarted(Now);
-  Call_(*Call, [this](const ConfigResponse &Answer) { onAnswer(Answer); });
+  if (Request->Kind_ == ConfigRequest::Kind::List)
+    Gossip_.listReadStarted(Now);
+  ConfigClient_(*Request, [this](const ConfigResponse &Response) {
+    onConfigResponse(Response);
+  });
 }
 
-void PacketProcess::Impl::onAnswer(const ConfigResponse &Answer) {
+void PacketProcess::Impl::onConfigResponse(const ConfigResponse &Response) {
   MonoTime Now = monoNow();
-  Reader_.answered(Now, Answer, News_.fleetSize());
-  bool Done = Answer.Outcome_ == ConfigResponse::Outcome::Done;
-  bool Stale = Answer.Outcome_ == ConfigResponse::Outcome::Stale;
-  ServiceLog_.answered(Now, Answer);
-  RefusedItems_ += Answer.RefusedItems_;
+  ConfigReader_.answered(Now, Response, Gossip_.fleetSize());
+  bool Done = Response.Outcome_ == ConfigResponse::Outcome::Done;
+  bool Stale = Response.Outcome_ == ConfigResponse::Outcome::Stale;
+  ServiceLog_.answered(Now, Response);
+  RefusedItems_ += Response.RefusedItems_;
   if (!Done && !Stale)
     ++ServiceFailures_;
   if (Stale)
-    News_.staleListRead(Now, Answer);
+    Gossip_.staleListRead(Now, Response);
   else if (!Done)
-    News_.readFailed();
-  else if (!News_.readSucceeded(Now, Answer, Reader_.completeAt()))
-    Reader_.requestList();
-  review();
+    Gossip_.readFailed();
+  else if (!Gossip_.readSucceeded(Now, Response, ConfigReader_.completeAt()))
+    ConfigReader_.requestList();
+  runDueWork();
 }
 
 PeerLinkHooks PacketProcess::Impl::linkHooks() {
   PeerLinkHooks Hooks;
   Hooks.OnOpen_ = [this](LinkId Link, const std::string &Target) {
-    News_.opened(monoNow(), Link, !Target.empty());
+    Gossip_.opened(monoNow(), Link, !Target.empty());
   };
   Hooks.OnMessage_ = [this](LinkId Link, const std::string &Bytes) {
     onPeerMessage(Link, Bytes);
   };
-  Hooks.OnClose_ = [this](LinkId Link) { News_.closed(monoNow(), Link); };
+  Hooks.OnClose_ = [this](LinkId Link) { Gossip_.closed(monoNow(), Link); };
   Hooks.OnPong_ = [this](const std::string &Bytes) { onPong(Bytes); };
-  Hooks.OnFailed_ = [this](const std::string &Target) {
-    News_.connectFailed(monoNow(), parseEndpoint(Target));
+  Hooks.OnConnectFailed_ = [this](const std::string &Target) {
+    Gossip_.connectFailed(monoNow(), parseEndpoint(Target));
   };
   return Hooks;
 }
@@ -56,30 +59,30 @@
 CheckerHooks PacketProcess::Impl::checkerHooks() {
   CheckerHooks Hooks;
   Hooks.OnResult_ = [this](Incarnation Upstream, CheckResult Result,
-                           MonoTime Began) {
-    Core_.onCheckResult(monoNow(), Upstream, Result, Began);
+                           MonoTime StartedAt) {
+    Core_.onCheckResult(monoNow(), Upstream, Result, StartedAt);
   };
-  Hooks.AskPeers_ = [this] { return askPeers(); };
-  Hooks.PeersAnswered_ = [this](MonoTime AskedAt) {
+  Hooks.ProbePeers_ = [this] { return probePeers(); };
+  Hooks.ProbeAnswered_ = [this](MonoTime ProbedAt) {
     // A balancer without peers has nobody to ask.
-    return News_.counters().Members_ == 0 || Path_.answeredSince(AskedAt);
+    return Gossip_.counters().Members_ == 0 || Probes_.answeredSince(ProbedAt);
   };
   return Hooks;
 }
 
 /// A ping carries the time of its question, which only this process reads.
-MonoTime PacketProcess::Impl::askPeers() {
+MonoTime PacketProcess::Impl::probePeers() {
   MonoTime Now = monoNow();
-  if (Path_.shouldProbe(Now))
+  if (Probes_.shouldProbe(Now))
     Links_.pingAll(std::to_string(Now.time_since_epoch().count()));
-  return Path_.lastProbeAt();
+  return Probes_.lastProbeAt();
 }
 
 void PacketProcess::Impl::onPong(const std::string &Bytes) {
-  Micros::rep AskedAt = 0;
+  Micros::rep ProbedAt = 0;
   const char *End = Bytes.data() + Bytes.size();
-  if (std::from_chars(Bytes.data(), End, AskedAt).ec == std::errc())
-    Path_.recordAnswer(MonoTime(Micros(AskedAt)), monoNow());
+  if (std::from_chars(Bytes.data(), End, ProbedAt).ec == std::errc())
+    Probes_.recordAnswer(MonoTime(Micros(ProbedAt)), monoNow());
 }
 
 void PacketProcess::Impl::onPeerMessage(LinkId Link, const std::string &Bytes) {
@@ -88,8 +91,8 @@
   ErrorKind Kind = decodeGossip(Bytes, Now, M);
   if (Kind == ErrorKind::None) {
     Traffic_.received(M, Bytes.size());
-    News_.received(Now, Link, M);
-    return noteReady();
+    Gossip_.received(Now, Link, M);
+    return checkReady();
   }
   logState("peer_message_refused",
            {{"reason", std::string(errorRow(Kind).Name_)}});
@@ -97,14 +100,14 @@
 }
 
 /// The end of a start: until then a stale list was all that was known.
-void PacketProcess::Impl::noteCurrent() {
-  if (CurrentTold_)
+void PacketProcess::Impl::logFirstConfirmation() {
+  if (FirstConfirmationLogged_)
     return;
-  CurrentTold_ = true;
-  logState("knowledge_current", {{"revision", News_.through()}});
+  FirstConfirmationLogged_ = true;
+  logState("knowledge_current", {{"revision", Gossip_.through()}});
 }
 
-GossipHooks PacketProcess::Impl::newsHooks() {
+GossipHooks PacketProcess::Impl::gossipHooks() {
   GossipHooks Hooks;
   Hooks.Send_ = [this](LinkId Link, const GossipMessage &M) {
     std::string Bytes = encodeGossip(M, monoNow());
@@ -123,10 +126,10 @@
   Hooks.OnUpstreams_ = [this](const std::vector<UpstreamChange> &Changes,
                               bool MayReturn) {
     if (Changes.size() > PacketBalancer::MaxIndividualEvents)
-      logUpstreams(Changes, News_.through());
+      logUpstreamSummary(Changes, Gossip_.through());
     Core_.applyUpstreams(monoNow(), Changes, MayReturn);
-    if (ReadyTold_)
-      releaseHeld();
+    if (ReadyLogged_)
+      releaseHeldPackets();
   };
   Hooks.OnEvacuations_ = [this](const std::vector<EvacuationChange> &Changes) {
     Core_.applyEvacuations(monoNow(), Changes);
@@ -137,7 +140,7 @@
   };
   Hooks.OnPeerJoined_ = [this](MonoTime At) { Core_.onBalancerJoined(At); };
   Hooks.OnConfirmed_ = [this](MonoTime AsOf) {
-    noteCurrent();
+    logFirstConfirmation();
     Core_.confirmUpTo(AsOf);
     ServiceLog_.confirmed(AsOf);
   };
--- a/src/packet-process.cc
+++ b/src/packet-process.cc
@@ -10,18 +10,18 @@
 
 namespace {
 
-double randomShare() {
+double randomJitter() {
   std::random_device Device;
   return std::uniform_real_distribution<double>(0, 1)(Device);
 }
 
 /// A refusal that ends once upstreams are published: all of them are missing
 /// for up to 2 s after the configuration service was away.
-bool mayPass(ErrorKind Why) {
+bool isTransientError(ErrorKind Why) {
   return Why == ErrorKind::NoneLeft || Why == ErrorKind::UnknownCookie;
 }
 
-GossipOptions newsOptions(const PacketSettings &S) {
+GossipOptions gossipOptions(const PacketSettings &S) {
   return {{S.Name_, S.DataHall_, S.AdvertisedControlAddress_, 0}, S.Seeds_};
 }
 
@@ -38,11 +38,11 @@
                         CheckHook OnCheck, ResetHook OnReset,
                         WarningHook OnWarning) {
   return PacketBalancerBuilder()
-      .maxStalenessForReset(resetWhenKnown(S))
+      .maxStalenessForReset(resetStalenessLimit(S))
       .maxFlowAge(S.MaxFlowAge_)
       .coldOver(S.ColdOver_, S.ColdSlack_)
-      .onDecision(logDecisionOn)
-      .onUpstreamEvent(logBelief)
+      .onDecision(logPacketDecision)
+      .onUpstreamEvent(logUpstreamEvent)
       .onDelay(std::move(OnDelay))
       .onCheck(std::move(OnCheck))
       .onReset(std::move(OnReset))
@@ -63,40 +63,41 @@
       Core_(makeCore(
           Settings_,
           [this](ServiceId S, DelayClass C, Micros Delay) {
-            Delays_.record(tenant(S), nameOf(C), Delay);
+            Delays_.record(serviceLabel(S), nameOf(C), Delay);
           },
-          [this](const UpstreamCheck &Wanted) { Checker_.check(Wanted); },
+          [this](const UpstreamCheck &Request) { Checker_.check(Request); },
           [this](const ResetFlow &R) { sendReset(R); },
-          [this](const UpstreamWarning &M) { News_.warn(monoNow(), M); })),
+          [this](const UpstreamWarning &M) { Gossip_.warn(monoNow(), M); })),
       Openings_(Context,
                 [this](MonoTime Now, const std::uint8_t *Data,
                        std::size_t Size) { retryOpening(Now, Data, Size); }),
       Checker_(Context, checkerHooks()),
-      Reader_(randomShare(), isSeed(Settings_)),
-      Call_(Hooks_.MakeCaller_(Context, Settings_.ConfigServiceAddress_)),
+      ConfigReader_(randomJitter(), isSeed(Settings_)),
+      ConfigClient_(
+          Hooks_.MakeConfigClient_(Context, Settings_.ConfigServiceAddress_)),
       Links_(Context, Settings_.ControlAddress_, MaxGossipMessageBytes,
              linkHooks()),
-      News_(newsOptions(Settings_), newsHooks()),
+      Gossip_(gossipOptions(Settings_), gossipHooks()),
       Readiness_(
           Context, Settings_.ReadinessAddress_,
-          [this](const std::string &Target, const HttpServer::Reply &Answer) {
-            Answer(readinessPage(pathOf(Target)));
+          [this](const std::string &Target, const HttpServer::Reply &Response) {
+            Response(readinessPage(pathOf(Target)));
           }),
       Timer_(Context), Signals_(Context, SIGTERM, SIGINT, SIGHUP) {
-  NextSettingsLook_ = monoNow() + SettingsLookEvery;
-  PeersBy_ = monoNow() + FirstPeerWithin;
+  NextSettingsPollAt_ = monoNow() + SettingsPollInterval;
+  FirstPeerDeadline_ = monoNow() + FirstPeerTimeout;
   Core_.onBalancerJoined(monoNow()); // others may come with it
   awaitSignal();
   serveMetrics();
   logState("started", {{"packets", formatEndpoint(Settings_.PacketAddress_)},
                        {"data_hall", Settings_.DataHall_}});
-  review();
+  runDueWork();
 }
 
 void PacketProcess::Impl::onPacket(const std::uint8_t *Data, std::size_t Size) {
-  LastPacket_ = monoNow();
-  if (!Core_.ready() || !steer(LastPacket_, Data, Size))
-    Held_.hold(LastPacket_, Data, Size);
+  LastPacketAt_ = monoNow();
+  if (!Core_.ready() || !steer(LastPacketAt_, Data, Size))
+    Held_.hold(LastPacketAt_, Data, Size);
 }
 
 /// False when the packet's upstream, or any for it, is not known yet.
@@ -108,9 +109,9 @@
     return true;
   }
   Verdict V = Core_.steer(Now, P);
-  std::visit([&](const auto &Typed) { act(Typed, Data, Size); }, V);
+  std::visit([&](const auto &Typed) { execute(Typed, Data, Size); }, V);
   if (const auto *D = std::get_if<Dropped>(&V))
-    return !mayPass(D->Error_);
+    return !isTransientError(D->Error_);
   bool FirstOpening = P.Opens_ && P.Acknowledged_ == 0;
   if (FirstOpening && std::holds_alternative<Forward>(V))
     Openings_.onOpeningSent(Now, Data, Size);
@@ -118,7 +119,7 @@
 }
 
 /// Sends on what has waited for upstreams.
-void PacketProcess::Impl::releaseHeld() {
+void PacketProcess::Impl::releaseHeldPackets() {
   MonoTime Now = monoNow();
   Held_.release(Now, [this, Now](const std::uint8_t *Data, std::size_t Size) {
     return steer(Now, Data, Size);
@@ -130,71 +131,71 @@
   Packet P;
   Hooks_.Decode_(Data, Size, P);
   Verdict V = Core_.retryOpening(Now, P);
-  std::visit([&](const auto &Typed) { act(Typed, Data, Size); }, V);
+  std::visit([&](const auto &Typed) { execute(Typed, Data, Size); }, V);
 }
 
-void PacketProcess::Impl::act(const Forward &F, const std::uint8_t *Data,
-                              std::size_t Size) {
-  std::uint8_t Buffer[MaxPacket];
+void PacketProcess::Impl::execute(const Forward &F, const std::uint8_t *Data,
+                                  std::size_t Size) {
+  std::uint8_t Buffer[MaxPacketBytes];
   std::size_t Length = Hooks_.EncodeForward_(F, Data, Size, Buffer);
   Packets_.send(F.To_, Buffer, Length);
 }
 
-void PacketProcess::Impl::act(const ResetFlow &R, const std::uint8_t *,
-                              std::size_t) {
+void PacketProcess::Impl::execute(const ResetFlow &R, const std::uint8_t *,
+                                  std::size_t) {
   sendReset(R);
 }
 
 void PacketProcess::Impl::sendReset(const ResetFlow &R) {
   if (R.Error_ == ErrorKind::UpstreamDead)
     logReset(R);
-  std::uint8_t Buffer[MaxPacket];
+  std::uint8_t Buffer[MaxPacketBytes];
   std::size_t Length = Hooks_.EncodeReset_(R, Buffer);
   Endpoint To = R.Caller_;
   To.Port_ = Settings_.PacketAddress_.Port_;
   Packets_.send(To, Buffer, Length);
 }
 
-void PacketProcess::Impl::act(const Dropped &, const std::uint8_t *,
-                              std::size_t) {}
+void PacketProcess::Impl::execute(const Dropped &, const std::uint8_t *,
+                                  std::size_t) {}
 
-void PacketProcess::Impl::review() {
+void PacketProcess::Impl::runDueWork() {
   MonoTime Now = monoNow();
   if (Now >= NextTick_) {
-    News_.tick(Now);
-    noteHall(Now);
+    Gossip_.tick(Now);
+    updateDataHallLost(Now);
     Core_.setServing(ready());
-    Core_.setFleetSize(News_.fleetSize());
+    Core_.setFleetSize(Gossip_.fleetSize());
     if (Core_.hasColdLimits())
-      Core_.setFleet(News_.fleetView(Now));
+      Core_.setFleet(Gossip_.fleetView(Now));
     Core_.tick(Now);
     Openings_.setTimeout(Core_.openingTimeout());
-    endWhenQuiet(Now);
-    lookAtSettings(Now);
+    stopIfQuiet(Now);
+    pollSettings(Now);
     flushLog();
     NextTick_ = Now + PacketBalancer::TickInterval;
   }
-  noteReady();
-  if (Now >= PeersBy_ && News_.fleetSize() == 1)
-    Reader_.noPeersFound(Now);
-  startCall(Now);
+  checkReady();
+  if (Now >= FirstPeerDeadline_ && Gossip_.fleetSize() == 1)
+    ConfigReader_.noPeersFound(Now);
+  startConfigCall(Now);
   Timer_.expires_at(
-      toSteady(std::min(NextTick_, Reader_.dueAt(News_.nextReadAt()))));
+      toSteady(std::min(NextTick_, ConfigReader_.dueAt(Gossip_.nextReadAt()))));
   Timer_.async_wait([this](const asio::error_code &Error) {
     if (!Error)
-      review();
+      runDueWork();
   });
 }
 
 /// Once there is something to steer by: sends on what has waited for it.
-void PacketProcess::Impl::noteReady() {
-  if (ReadyTold_ || !Core_.ready())
+void PacketProcess::Impl::checkReady() {
+  if (ReadyLogged_ || !Core_.ready())
     return;
-  ReadyTold_ = true;
+  ReadyLogged_ = true;
   logState("ready", {{"routing_version", Routing_->Version_},
-                     {"revision", News_.through()},
+                     {"revision", Gossip_.through()},
                      {"held_packets", Held_.size()}});
-  releaseHeld();
+  releaseHeldPackets();
 }
 
 PacketProcess::PacketProcess(asio::io_context &Context,
--- a/src/packet-process.h
+++ b/src/packet-process.h
@@ -13,15 +13,15 @@
 namespace thymewall::detail {
 
 /// Buffers for datagrams: larger than any that a platform sends.
-constexpr std::size_t MaxPacket = 2048;
+constexpr std::size_t MaxPacketBytes = 2048;
 
 /// Makes a call of the configuration service and gives its answer once.
-using IntentCaller =
-    std::function<void(const ConfigRequest &Call,
+using ConfigClient =
+    std::function<void(const ConfigRequest &Request,
                        std::function<void(const ConfigResponse &)> Done)>;
 
-/// What an adapter provides. Encoders fill a buffer of `MaxPacket` bytes and
-/// give the size.
+/// What an adapter provides. Encoders fill a buffer of `MaxPacketBytes` bytes
+/// and give the size.
 struct PlatformHooks {
   /// False when the bytes are no packet.
   std::function<bool(const std::uint8_t *Data, std::size_t Size, Packet &P)>
@@ -31,8 +31,8 @@
       EncodeForward_;
   std::function<std::size_t(const ResetFlow &R, std::uint8_t *Buffer)>
       EncodeReset_;
-  std::function<IntentCaller(asio::io_context &Context, const Endpoint &Server)>
-      MakeCaller_;
+  std::function<ConfigClient(asio::io_context &Context, const Endpoint &Server)>
+      MakeConfigClient_;
   std::string ReadinessPath_;
 };
 
--- a/src/packet-settings.cc
+++ b/src/packet-settings.cc
@@ -9,14 +9,14 @@
 namespace {
 
 /// Bounds of times in settings: more than a day is a mistake in the unit.
-constexpr std::int64_t DayMs = 86'400'000;
+constexpr std::int64_t MaxTimeMs = 86'400'000;
 
 /// Bounds of what a cold upstream may get: more is a mistake in writing.
-constexpr double MostColdOver = 100;
-constexpr double MostColdSlack = 100'000;
+constexpr double MaxColdOver = 100;
+constexpr double MaxColdSlack = 100'000;
 
 Micros readMs(detail::ObjectReader &Reader, const char *Key) {
-  return std::chrono::milliseconds(Reader.integer(Key, 1, DayMs));
+  return std::chrono::milliseconds(Reader.integer(Key, 1, MaxTimeMs));
 }
 
 } // namespace
@@ -55,8 +55,8 @@
   S.MaxRoutingDelay_ = readMs(Reader, "routing_within_ms");
   S.StopTimeout_ = readMs(Reader, "stop_within_ms");
   S.MaxFlowAge_ = readMs(Reader, "flow_limit_ms");
-  S.ColdOver_ = Reader.numberOr("cold_over", 1, 0, MostColdOver);
-  S.ColdSlack_ = Reader.numberOr("cold_slack", 0, 0, MostColdSlack);
+  S.ColdOver_ = Reader.numberOr("cold_over", 1, 0, MaxColdOver);
+  S.ColdSlack_ = Reader.numberOr("cold_slack", 0, 0, MaxColdSlack);
   Reader.finish();
   if (!Found.empty())
     return boost::leaf::new_error(Found.all());
@@ -64,22 +64,22 @@
 }
 
 std::vector<std::string> keysNeedingRestart(const PacketSettings &Running,
-                                            const PacketSettings &Wanted) {
+                                            const PacketSettings &Changed) {
   std::vector<std::string> Keys;
   auto Compare = [&](const char *Key, bool Same) {
     if (!Same)
       Keys.emplace_back(Key);
   };
-  Compare("name", Running.Name_ == Wanted.Name_);
-  Compare("data_hall", Running.DataHall_ == Wanted.DataHall_);
-  Compare("packets", Running.PacketAddress_ == Wanted.PacketAddress_);
-  Compare("readiness", Running.ReadinessAddress_ == Wanted.ReadinessAddress_);
-  Compare("control", Running.ControlAddress_ == Wanted.ControlAddress_);
+  Compare("name", Running.Name_ == Changed.Name_);
+  Compare("data_hall", Running.DataHall_ == Changed.DataHall_);
+  Compare("packets", Running.PacketAddress_ == Changed.PacketAddress_);
+  Compare("readiness", Running.ReadinessAddress_ == Changed.ReadinessAddress_);
+  Compare("control", Running.ControlAddress_ == Changed.ControlAddress_);
   Compare("advertised_control", Running.AdvertisedControlAddress_ ==
-                                    Wanted.AdvertisedControlAddress_);
+                                    Changed.AdvertisedControlAddress_);
   Compare("configuration",
-          Running.ConfigServiceAddress_ == Wanted.ConfigServiceAddress_);
-  Compare("metrics_port", Running.MetricsPort_ == Wanted.MetricsPort_);
+          Running.ConfigServiceAddress_ == Changed.ConfigServiceAddress_);
+  Compare("metrics_port", Running.MetricsPort_ == Changed.MetricsPort_);
   return Keys;
 }
 
--- a/src/peer-links.cc
+++ b/src/peer-links.cc
@@ -11,9 +11,9 @@
 namespace {
 
 /// Limits on opening and closing handshakes: round trips take milliseconds.
-constexpr long HandshakeMs = 1500;
+constexpr long HandshakeTimeoutMs = 1500;
 /// Bytes that a peer which doesn't read may hold up; then its link is closed.
-constexpr std::size_t MaxBuffered = 16 << 20;
+constexpr std::size_t MaxBufferedBytes = 16 << 20;
 
 // The member names are the library's.
 // NOLINTBEGIN(readability-identifier-naming)
@@ -39,12 +39,12 @@
 class PeerLinks::Impl {
 public:
   Impl(asio::io_context &Context, const Endpoint &Listen,
-       std::size_t MaxMessage, PeerLinkHooks Hooks)
-      : Hooks_(std::move(Hooks)), MaxMessage_(MaxMessage) {
+       std::size_t MaxMessageBytes, PeerLinkHooks Hooks)
+      : Hooks_(std::move(Hooks)), MaxMessageBytes_(MaxMessageBytes) {
     Server_.init_asio(&Context);
     Client_.init_asio(&Context);
-    prepare(Server_);
-    prepare(Client_);
+    configure(Server_);
+    configure(Client_);
     Server_.set_open_handler([this](const Handle &H) { onOpen(H, true, ""); });
     Server_.set_close_handler([this](const Handle &H) { onClose(H); });
     std::string Address = formatEndpoint(Listen);
@@ -59,7 +59,7 @@
     Hooks_ = {};
     websocketpp::lib::error_code Ignored;
     Server_.stop_listening(Ignored);
-    for (const auto &[Which, L] : Links_)
+    for (const auto &[Id, L] : Links_)
       closeHandle(L);
   }
 
@@ -72,34 +72,36 @@
         [this, Target](const Handle &H) { onOpen(H, false, Target); });
     Connection->set_close_handler([this](const Handle &H) { onClose(H); });
     Connection->set_fail_handler([this, Target](const Handle &) {
-      if (Hooks_.OnFailed_)
-        Hooks_.OnFailed_(Target);
+      if (Hooks_.OnConnectFailed_)
+        Hooks_.OnConnectFailed_(Target);
     });
     Client_.connect(Connection);
   }
 
-  void send(LinkId Which, const std::string &Bytes) {
-    auto Known = Links_.find(Which);
-    if (Known == Links_.end())
+  void send(LinkId Id, const std::string &Bytes) {
+    auto Found = Links_.find(Id);
+    if (Found == Links_.end())
       return;
     constexpr auto Binary = websocketpp::frame::opcode::binary;
     websocketpp::lib::error_code Error;
-    const Link &L = Known->second;
-    std::size_t Held = 0;
+    const Link &L = Found->second;
+    std::size_t BufferedBytes = 0;
     if (L.Accepted_) {
       Server_.send(L.Handle_, Bytes, Binary, Error);
-      Held = Server_.get_con_from_hdl(L.Handle_)->get_buffered_amount();
+      BufferedBytes =
+          Server_.get_con_from_hdl(L.Handle_)->get_buffered_amount();
     } else {
       Client_.send(L.Handle_, Bytes, Binary, Error);
-      Held = Client_.get_con_from_hdl(L.Handle_)->get_buffered_amount();
+      BufferedBytes =
+          Client_.get_con_from_hdl(L.Handle_)->get_buffered_amount();
     }
-    if (Error || Held > MaxBuffered)
-      close(Which);
+    if (Error || BufferedBytes > MaxBufferedBytes)
+      close(Id);
   }
 
   void pingAll(const std::string &Bytes) {
     websocketpp::lib::error_code Ignored; // a link that is about to close
-    for (const auto &[Which, L] : Links_) {
+    for (const auto &[Id, L] : Links_) {
       if (L.Accepted_)
         Server_.ping(L.Handle_, Bytes, Ignored);
       else
@@ -107,10 +109,10 @@
     }
   }
 
-  void close(LinkId Which) {
-    auto Known = Links_.find(Which);
-    if (Known != Links_.end())
-      closeHandle(Known->second);
+  void close(LinkId Id) {
+    auto Found = Links_.find(Id);
+    if (Found != Links_.end())
+      closeHandle(Found->second);
   }
 
 private:
@@ -119,39 +121,39 @@
     bool Accepted_ = false;
   };
 
-  template <typename EndpointType> void prepare(EndpointType &E) {
-    E.set_max_message_size(MaxMessage_);
-    E.set_open_handshake_timeout(HandshakeMs);
-    E.set_close_handshake_timeout(HandshakeMs);
+  template <typename EndpointType> void configure(EndpointType &E) {
+    E.set_max_message_size(MaxMessageBytes_);
+    E.set_open_handshake_timeout(HandshakeTimeoutMs);
+    E.set_close_handshake_timeout(HandshakeTimeoutMs);
     E.set_pong_handler([this](const Handle &, const std::string &Bytes) {
       if (Hooks_.OnPong_)
         Hooks_.OnPong_(Bytes);
     });
     E.set_message_handler(
         [this](const Handle &H, typename EndpointType::message_ptr M) {
-          auto Known = Ids_.find(H);
-          if (Known != Ids_.end() && Hooks_.OnMessage_)
-            Hooks_.OnMessage_(Known->second, M->get_payload());
+          auto Found = Ids_.find(H);
+          if (Found != Ids_.end() && Hooks_.OnMessage_)
+            Hooks_.OnMessage_(Found->second, M->get_payload());
         });
   }
 
   void onOpen(const Handle &H, bool Accepted, const std::string &Target) {
-    auto Which = static_cast<LinkId>(++LastId_);
-    Links_[Which] = {H, Accepted};
-    Ids_[H] = Which;
+    auto Id = static_cast<LinkId>(++LastId_);
+    Links_[Id] = {H, Accepted};
+    Ids_[H] = Id;
     if (Hooks_.OnOpen_)
-      Hooks_.OnOpen_(Which, Target);
+      Hooks_.OnOpen_(Id, Target);
   }
 
   void onClose(const Handle &H) {
-    auto Known = Ids_.find(H);
-    if (Known == Ids_.end())
+    auto Found = Ids_.find(H);
+    if (Found == Ids_.end())
       return;
-    LinkId Which = Known->second;
-    Ids_.erase(Known);
-    Links_.erase(Which);
+    LinkId Id = Found->second;
+    Ids_.erase(Found);
+    Links_.erase(Id);
     if (Hooks_.OnClose_)
-      Hooks_.OnClose_(Which);
+      Hooks_.OnClose_(Id);
   }
 
   void closeHandle(const Link &L) {
@@ -164,7 +166,7 @@
   }
 
   PeerLinkHooks Hooks_;
-  std::size_t MaxMessage_;
+  std::size_t MaxMessageBytes_;
   Server Server_;
   Client Client_;
   std::map<LinkId, Link> Links_;
@@ -173,8 +175,8 @@
 };
 
 PeerLinks::PeerLinks(asio::io_context &Context, const Endpoint &Listen,
-                     std::size_t MaxMessage, PeerLinkHooks Hooks)
-    : Impl_(std::make_unique<Impl>(Context, Listen, MaxMessage,
+                     std::size_t MaxMessageBytes, PeerLinkHooks Hooks)
+    : Impl_(std::make_unique<Impl>(Context, Listen, MaxMessageBytes,
                                    std::move(Hooks))) {}
 PeerLinks::~PeerLinks() = default;
 void PeerLinks::connect(const std::string &Target) { Impl_->connect(Target); }
--- a/src/peer-links.h
+++ b/src/peer-links.h
@@ -15,7 +15,7 @@
   std::function<void(LinkId, const std::string &Target)> OnOpen_;
   std::function<void(LinkId, const std::string &Bytes)> OnMessage_;
   std::function<void(LinkId)> OnClose_;
-  std::function<void(const std::string &Target)> OnFailed_;
+  std::function<void(const std::string &Target)> OnConnectFailed_;
   /// A peer has answered a ping with its bytes.
   std::function<void(const std::string &Bytes)> OnPong_;
 };
@@ -24,7 +24,7 @@
 public:
   /// Throws `std::system_error` when the address can't be bound.
   PeerLinks(asio::io_context &Context, const Endpoint &Listen,
-            std::size_t MaxMessage, PeerLinkHooks Hooks);
+            std::size_t MaxMessageBytes, PeerLinkHooks Hooks);
   ~PeerLinks();
 
   /// \p Target is "ADDRESS:PORT".
--- a/src/peer-traffic.h
+++ b/src/peer-traffic.h
@@ -12,13 +12,13 @@
 
 class PeerTraffic {
 public:
-  struct Count {
+  struct TrafficCount {
     std::uint64_t Messages_ = 0;
     std::uint64_t Bytes_ = 0;
   };
-  static constexpr std::size_t Kinds = std::variant_size_v<GossipMessage>;
+  static constexpr std::size_t KindCount = std::variant_size_v<GossipMessage>;
   /// In the order of `GossipMessage`.
-  static constexpr std::array<const char *, Kinds> Names = {
+  static constexpr std::array<const char *, KindCount> KindNames = {
       "heartbeat", "question", "news", "warning"};
 
   void sent(const GossipMessage &M, std::size_t Bytes) {
@@ -27,17 +27,21 @@
   void received(const GossipMessage &M, std::size_t Bytes) {
     add(Received_[M.index()], Bytes);
   }
-  const std::array<Count, Kinds> &allSent() const { return Sent_; }
-  const std::array<Count, Kinds> &allReceived() const { return Received_; }
+  const std::array<TrafficCount, KindCount> &sentByKind() const {
+    return Sent_;
+  }
+  const std::array<TrafficCount, KindCount> &receivedByKind() const {
+    return Received_;
+  }
 
 private:
-  static void add(Count &To, std::size_t Bytes) {
+  static void add(TrafficCount &To, std::size_t Bytes) {
     ++To.Messages_;
     To.Bytes_ += Bytes;
   }
 
-  std::array<Count, Kinds> Sent_{};
-  std::array<Count, Kinds> Received_{};
+  std::array<TrafficCount, KindCount> Sent_{};
+  std::array<TrafficCount, KindCount> Received_{};
 };
 
 } // namespace thymewall::detail
--- a/src/settings-watch.cc
+++ b/src/settings-watch.cc
@@ -8,10 +8,10 @@
 namespace thymewall::detail {
 
 SettingsWatch::SettingsWatch(std::string Path) : Path_(std::move(Path)) {
-  changed();
+  reread();
 }
 
-bool SettingsWatch::changed() {
+bool SettingsWatch::reread() {
   std::optional<std::string> Now = readFile(Path_);
   if (!Now || *Now == Text_)
     return false; // a file that is missing for a moment is being replaced
@@ -19,7 +19,7 @@
   return true;
 }
 
-std::optional<PacketSettings> SettingsWatch::read() const {
+std::optional<PacketSettings> SettingsWatch::parse() const {
   using Result = std::optional<PacketSettings>;
   return boost::leaf::try_handle_all(
       [&]() -> boost::leaf::result<Result> {
--- a/src/settings-watch.h
+++ b/src/settings-watch.h
@@ -17,10 +17,10 @@
   explicit SettingsWatch(std::string Path);
 
   /// True when the file's text differs from that of the last look.
-  bool changed();
+  bool reread();
   /// Parses the text of the last look. Nothing when it is bad: the faults are
   /// logged, and what is in force stays.
-  std::optional<PacketSettings> read() const;
+  std::optional<PacketSettings> parse() const;
 
 private:
   std::string Path_;
--- a/src/upstream-checker.cc
+++ b/src/upstream-checker.cc
@@ -12,30 +12,31 @@
 namespace {
 
 /// A connection takes about 2 ms between data halls.
-constexpr auto TryFor = std::chrono::milliseconds(80);
+constexpr auto AttemptTimeout = std::chrono::milliseconds(80);
 /// A timer this late means that this process did not run; then silence is no
 /// proof.
-constexpr auto LateBy = std::chrono::milliseconds(40);
+constexpr auto MaxTimerDelay = std::chrono::milliseconds(40);
 
 /// One check; lives while one of its operations is under way.
 class Check : public std::enable_shared_from_this<Check> {
 public:
-  Check(asio::io_context &Context, const UpstreamCheck &Wanted,
+  Check(asio::io_context &Context, const UpstreamCheck &Request,
         std::shared_ptr<const CheckerHooks> Hooks)
-      : Socket_(Context), Timer_(Context), Wanted_(Wanted),
-        Hooks_(std::move(Hooks)), Began_(std::chrono::steady_clock::now()) {}
+      : Socket_(Context), Timer_(Context), Request_(Request),
+        Hooks_(std::move(Hooks)), StartedAt_(std::chrono::steady_clock::now()) {
+  }
 
   void attempt() {
     ++Attempt_;
-    AskedAt_ = Hooks_->AskPeers_();
-    EndAt_ = std::chrono::steady_clock::now() + TryFor;
-    Timer_.expires_at(EndAt_);
+    ProbedAt_ = Hooks_->ProbePeers_();
+    Deadline_ = std::chrono::steady_clock::now() + AttemptTimeout;
+    Timer_.expires_at(Deadline_);
     Timer_.async_wait([Self = shared_from_this(),
                        Attempt = Attempt_](const asio::error_code &Error) {
       if (!Error && Self->Attempt_ == Attempt)
-        Self->onSilence();
+        Self->onAttemptTimeout();
     });
-    asio::ip::udp::endpoint At = toAsio(Wanted_.At_);
+    asio::ip::udp::endpoint At = toAsio(Request_.At_);
     Socket_.async_connect({At.address(), At.port()},
                           [Self = shared_from_this(),
                            Attempt = Attempt_](const asio::error_code &Error) {
@@ -52,11 +53,11 @@
     finish(Refused ? CheckResult::Dead : CheckResult::Unclear);
   }
 
-  void onSilence() {
-    if (std::chrono::steady_clock::now() - EndAt_ > LateBy)
+  void onAttemptTimeout() {
+    if (std::chrono::steady_clock::now() - Deadline_ > MaxTimerDelay)
       return finish(CheckResult::Unclear);
     close();
-    switch (Tries_.recordTimeout(Hooks_->PeersAnswered_(AskedAt_))) {
+    switch (Attempts_.recordTimeout(Hooks_->ProbeAnswered_(ProbedAt_))) {
     case CheckAttempts::Next::TryAgain:
       return attempt();
     case CheckAttempts::Next::Dead:
@@ -75,17 +76,17 @@
     ++Attempt_; // whatever still ends is ignored
     Timer_.cancel();
     close();
-    Hooks_->OnResult_(Wanted_.Upstream_, Result, toMono(Began_));
+    Hooks_->OnResult_(Request_.Upstream_, Result, toMono(StartedAt_));
   }
 
   asio::ip::tcp::socket Socket_;
   asio::steady_timer Timer_;
-  UpstreamCheck Wanted_;
+  UpstreamCheck Request_;
   std::shared_ptr<const CheckerHooks> Hooks_;
-  CheckAttempts Tries_;
-  MonoTime AskedAt_{};
-  SteadyTime Began_;
-  SteadyTime EndAt_{};
+  CheckAttempts Attempts_;
+  MonoTime ProbedAt_{};
+  SteadyTime StartedAt_;
+  SteadyTime Deadline_{};
   int Attempt_ = 0;
 };
 
@@ -95,8 +96,8 @@
     : Context_(Context),
       Hooks_(std::make_shared<const CheckerHooks>(std::move(Hooks))) {}
 
-void UpstreamChecker::check(const UpstreamCheck &Wanted) {
-  std::make_shared<Check>(Context_, Wanted, Hooks_)->attempt();
+void UpstreamChecker::check(const UpstreamCheck &Request) {
+  std::make_shared<Check>(Context_, Request, Hooks_)->attempt();
 }
 
 } // namespace thymewall::detail
--- a/src/upstream-checker.h
+++ b/src/upstream-checker.h
@@ -10,13 +10,14 @@
 namespace thymewall::detail {
 
 struct CheckerHooks {
-  std::function<void(Incarnation Upstream, CheckResult Result, MonoTime Began)>
+  std::function<void(Incarnation Upstream, CheckResult Result,
+                     MonoTime StartedAt)>
       OnResult_;
   /// A try begins: peers are asked, too. Gives the time of the question.
-  std::function<MonoTime()> AskPeers_;
+  std::function<MonoTime()> ProbePeers_;
   /// Whether that question was answered in time, so that silence proves
   /// something.
-  std::function<bool(MonoTime AskedAt)> PeersAnswered_;
+  std::function<bool(MonoTime ProbedAt)> ProbeAnswered_;
 };
 
 class UpstreamChecker {
@@ -25,7 +26,7 @@
 
   /// Tries to connect, and again as long as silence is no proof. Nothing is
   /// sent.
-  void check(const UpstreamCheck &Wanted);
+  void check(const UpstreamCheck &Request);
 
 private:
   asio::io_context &Context_;
--- a/test/log-test.cc
+++ b/test/log-test.cc
@@ -43,7 +43,7 @@
 
 TEST_CASE("the log says of the configuration service only what is known") {
   std::vector<std::string> Events;
-  detail::ServiceLog Log([&](std::string_view Event, const LogFields &) {
+  detail::ConfigServiceLog Log([&](std::string_view Event, const LogFields &) {
     Events.emplace_back(Event);
   });
   auto Answered = [&](std::chrono::seconds When, ConfigResponse::Outcome What) {
--- a/test/packet-codec-test.cc
+++ b/test/packet-codec-test.cc
@@ -36,18 +36,18 @@
 }
 
 TEST_CASE("the example of a reset") {
-  std::uint8_t Buffer[HeadSize];
+  std::uint8_t Buffer[HeaderSize];
   ResetFlow R{parseEndpoint("100.64.0.7:40001"),
               parseEndpoint("198.18.0.1:443"), 0, ErrorKind::UnknownAddress};
-  REQUIRE(encodeReset(R, Buffer) == HeadSize);
-  CHECK(std::memcmp(Buffer, ResetBytes.data(), HeadSize) == 0);
+  REQUIRE(encodeReset(R, Buffer) == HeaderSize);
+  CHECK(std::memcmp(Buffer, ResetBytes.data(), HeaderSize) == 0);
 }
 
 TEST_CASE("a forwarded packet differs in its cookie alone") {
   Bytes Data = OpeningBytes;
   Data.insert(Data.end(), {1, 2, 3});
   Data[12] = 3; // the length of the data
-  std::uint8_t Buffer[HeadSize + MaxData + PrefixSize];
+  std::uint8_t Buffer[HeaderSize + MaxPayload + PrefixSize];
   Forward F{{}, Incarnation{0x0102030405060708}, 0xa1b2c3d4};
   REQUIRE(encodeForward(F, Data.data(), Data.size(), Buffer) ==
           PrefixSize + Data.size());
@@ -63,19 +63,21 @@
 TEST_CASE("only whole packets are decoded, whatever the bytes") {
   rc::check([] {
     auto Data = *rc::gen::container<Bytes>(rc::gen::arbitrary<std::uint8_t>());
-    bool Exact = Data.size() >= HeadSize && Data.size() <= HeadSize + MaxData &&
-                 Data[12] + 256U * Data[13] == Data.size() - HeadSize;
+    bool Exact = Data.size() >= HeaderSize &&
+                 Data.size() <= HeaderSize + MaxPayload &&
+                 Data[12] + 256U * Data[13] == Data.size() - HeaderSize;
     Packet P;
     RC_ASSERT(decodePacket(Data.data(), Data.size(), P) == Exact);
   });
   rc::check([] {
     Bytes Data = OpeningBytes;
-    auto Extra = *rc::gen::inRange<std::size_t>(0, 2 * MaxData);
-    Data.resize(HeadSize + Extra);
+    auto Extra = *rc::gen::inRange<std::size_t>(0, 2 * MaxPayload);
+    Data.resize(HeaderSize + Extra);
     Data[12] = static_cast<std::uint8_t>(Extra);
     Data[13] = static_cast<std::uint8_t>(Extra >> 8);
     Packet P;
-    RC_ASSERT(decodePacket(Data.data(), Data.size(), P) == (Extra <= MaxData));
+    RC_ASSERT(decodePacket(Data.data(), Data.size(), P) ==
+              (Extra <= MaxPayload));
     Data.pop_back();
     RC_ASSERT(!decodePacket(Data.data(), Data.size(), P));
   });
--- a/test/packet-pages-test.cc
+++ b/test/packet-pages-test.cc
@@ -11,8 +11,8 @@
 namespace {
 
 /// The report of a balancer with one upstream that drains and one that serves.
-struct Reported {
-  Reported() {
+struct ReportFixture {
+  ReportFixture() {
     auto Table = std::make_shared<RoutingTable>();
     auto Index = static_cast<ServiceId>(nameId("index"));
     Table->Version_ = 7;
@@ -45,31 +45,31 @@
 } // namespace
 
 TEST_CASE("metrics hold counters, the age of knowledge and delays") {
-  Reported R;
-  HttpPage Page = packetPage(R.Report_, "/metrics");
+  ReportFixture Fixture;
+  HttpPage Page = packetPage(Fixture.Report_, "/metrics");
   CHECK(Page.Status_ == 200);
   CHECK(Page.Body_.find("thymewall_knowledge_age_ms 500\n") !=
         std::string::npos);
   CHECK(Page.Body_.find("thymewall_routing_version 7\n") != std::string::npos);
   CHECK(Page.Body_.find("thymewall_delay_seconds") != std::string::npos);
-  R.Report_.Traffic_.sent(UpstreamWarning{}, 24);
-  R.Report_.Traffic_.sent(UpstreamWarning{}, 24);
-  R.Report_.Traffic_.received(StateUpdate{}, 5000);
-  Page = packetPage(R.Report_, "/metrics");
+  Fixture.Report_.Traffic_.sent(UpstreamWarning{}, 24);
+  Fixture.Report_.Traffic_.sent(UpstreamWarning{}, 24);
+  Fixture.Report_.Traffic_.received(StateUpdate{}, 5000);
+  Page = packetPage(Fixture.Report_, "/metrics");
   for (const char *Line : {"thymewall_peer_messages_warning_sent 2\n",
                            "thymewall_peer_bytes_warning_sent 48\n",
                            "thymewall_peer_bytes_news_received 5000\n",
                            "thymewall_peer_bytes_heartbeat_received 0\n"})
     CHECK(Page.Body_.find(Line) != std::string::npos);
-  CHECK(packetPage(R.Report_, "/histograms").Status_ == 200);
-  CHECK(packetPage(R.Report_, "/other").Status_ == 404);
+  CHECK(packetPage(Fixture.Report_, "/histograms").Status_ == 200);
+  CHECK(packetPage(Fixture.Report_, "/other").Status_ == 404);
 }
 
 TEST_CASE("the operators' command tells why an upstream is not chosen") {
-  Reported R;
+  ReportFixture Fixture;
   std::ostringstream Out;
-  REQUIRE(isPacketStatus(R.status()));
-  printPacketStatus(R.status(), Out);
+  REQUIRE(isPacketStatus(Fixture.status()));
+  printPacketStatus(Fixture.status(), Out);
   CHECK(Out.str().find("lb-1: routing version 7, known as of 500 ms ago") == 0);
   CHECK(Out.str().find("ab at") != std::string::npos);
   CHECK(Out.str().find("draining") != std::string::npos);
@@ -78,11 +78,11 @@
 }
 
 TEST_CASE("the operators' command tells where new flows of an address go") {
-  Reported R;
+  ReportFixture Fixture;
   std::ostringstream Out;
-  CHECK(printRoute(R.status(), "198.18.0.1:8443", Out));
+  CHECK(printRoute(Fixture.status(), "198.18.0.1:8443", Out));
   CHECK(Out.str().find("cd at") != std::string::npos);
   CHECK(Out.str().find("takes new flows") != std::string::npos);
-  CHECK_FALSE(printRoute(R.status(), "198.18.0.9:1", Out));
+  CHECK_FALSE(printRoute(Fixture.status(), "198.18.0.9:1", Out));
   CHECK(Out.str().find("no address 198.18.0.9:1") != std::string::npos);
 }
--- a/test/packet-settings-test.cc
+++ b/test/packet-settings-test.cc
@@ -9,7 +9,7 @@
 
 namespace {
 
-Json good() {
+Json validSettings() {
   return {{"name", "lb-1"},
           {"data_hall", "hall-a"},
           {"packets", "10.0.0.1:8172"},
@@ -23,7 +23,7 @@
           {"flow_limit_ms", 60000}};
 }
 
-Problems problems(const Json &Settings) {
+Problems problemsOf(const Json &Settings) {
   return boost::leaf::try_handle_all(
       [&]() -> boost::leaf::result<Problems> {
         BOOST_LEAF_CHECK(parsePacketSettings(Settings.dump(), "s.json"));
@@ -35,7 +35,7 @@
       });
 }
 
-PacketSettings parsed(const Json &Settings) {
+PacketSettings parseValid(const Json &Settings) {
   return boost::leaf::try_handle_all(
       [&] { return parsePacketSettings(Settings.dump(), "s.json"); },
       [] { return PacketSettings{}; });
@@ -44,22 +44,22 @@
 } // namespace
 
 TEST_CASE("good settings") {
-  CHECK(problems(good()).empty());
-  PacketSettings S = parsed(good());
+  CHECK(problemsOf(validSettings()).empty());
+  PacketSettings S = parseValid(validSettings());
   CHECK(S.PacketAddress_ == parseEndpoint("10.0.0.1:8172"));
   CHECK(S.MaxRoutingDelay_ == std::chrono::seconds(3));
   CHECK(S.Seeds_.size() == 1);
 }
 
 TEST_CASE("every bad key is told with its reason") {
-  Json Bad = good();
+  Json Bad = validSettings();
   Bad["packets"] = "nowhere";
   Bad["metrics_port"] = 70000;
   Bad["seeds"] = {"x"};
   Bad["flow_limit_ms"] = 0;
   Bad["other"] = 1;
   Bad.erase("name");
-  Problems Found = problems(Bad);
+  Problems Found = problemsOf(Bad);
   std::vector<std::string> Keys;
   for (const Problem &P : Found) {
     CHECK(P.File_ == "s.json");
@@ -73,24 +73,26 @@
 }
 
 TEST_CASE("what can't change while a process runs is named") {
-  Json Changed = good();
+  Json Changed = validSettings();
   Changed["packets"] = "10.0.0.1:9999";
   Changed["seeds"] = Json::array();
   Changed["flow_limit_ms"] = 1000;
-  CHECK(keysNeedingRestart(parsed(good()), parsed(Changed)) ==
+  CHECK(keysNeedingRestart(parseValid(validSettings()), parseValid(Changed)) ==
         std::vector<std::string>{"packets"});
-  CHECK(keysNeedingRestart(parsed(good()), parsed(good())).empty());
+  CHECK(keysNeedingRestart(parseValid(validSettings()),
+                           parseValid(validSettings()))
+            .empty());
 }
 
 TEST_CASE("what a cold upstream may get beyond its limit is optional") {
-  CHECK(parsed(good()).ColdOver_ == 1);
-  Json Given = good();
-  Given["cold_over"] = 1.5;
-  Given["cold_slack"] = 5;
-  PacketSettings S = parsed(Given);
+  CHECK(parseValid(validSettings()).ColdOver_ == 1);
+  Json Changed = validSettings();
+  Changed["cold_over"] = 1.5;
+  Changed["cold_slack"] = 5;
+  PacketSettings S = parseValid(Changed);
   CHECK(S.ColdOver_ == 1.5);
   CHECK(S.ColdSlack_ == 5);
-  Given["cold_over"] = -1;
-  REQUIRE(problems(Given).size() == 1);
-  CHECK(problems(Given)[0].Key_ == "cold_over");
+  Changed["cold_over"] = -1;
+  REQUIRE(problemsOf(Changed).size() == 1);
+  CHECK(problemsOf(Changed)[0].Key_ == "cold_over");
 }
--- a/test/published-test.cc
+++ b/test/published-test.cc
@@ -15,7 +15,7 @@
 
 const MonoTime Now{std::chrono::seconds(50)};
 
-Json item(const std::string &Key, const Json &Value, Revision At) {
+Json makeItem(const std::string &Key, const Json &Value, Revision At) {
   return {{"key-file", Key},
           {"val", base64(Value.dump())},
           {"revision", At},
@@ -23,14 +23,14 @@
           {"lease-id", 0}};
 }
 
-Json upstream(const std::string &State = "ready") {
+Json upstreamValue(const std::string &State = "ready") {
   return {{"backend", "index"},     {"address", "10.128.0.9:8080"},
           {"zone", "ams-hall-a"},   {"version", "v1"},
           {"capacity", 3},          {"state", State},
           {"warmup-left-ms", 1500}, {"call-seq", 4}};
 }
 
-Json configuration() {
+Json routingDocument() {
   return Json::parse(R"({"version":7,"routes":[
     {"name":"a","hostname":"198.18.0.1","path-prefix":"/8443/","type":"idempotent",
      "split":[{"backend":"index","weight":90},{"backend":"archive","weight":10},
@@ -41,9 +41,9 @@
     "limits":{"idle-timeout-ms":15000}})");
 }
 
-StoreAnswer decode(const Json &Root) {
+StoreResponse decodeResponse(const Json &Root) {
   std::string Reason;
-  auto Answer = decodeStoreAnswer(Root.dump(), Now, Reason);
+  auto Answer = decodeStoreResponse(Root.dump(), Now, Reason);
   REQUIRE_MESSAGE(Answer, Reason);
   return *Answer;
 }
@@ -51,50 +51,52 @@
 } // namespace
 
 TEST_CASE("a page of items") {
-  StoreAnswer A = decode({{"items",
-                           {item("op/config", configuration(), 12),
-                            item("servers/i-7f3a91c2", upstream(), 14),
-                            item("other/key", "x", 15)}},
-                          {"has-more", true},
-                          {"store-revision", 15}});
-  CHECK(A.More_);
-  CHECK(A.StoreRevision_ == 15);
-  CHECK(A.LastKey_ == "other/key");
-  CHECK(A.Refused_.empty());
-  REQUIRE(A.Changes_.size() == 1);
-  const UpstreamEntry &E = *A.Changes_[0].Entry_;
+  StoreResponse Response =
+      decodeResponse({{"items",
+                       {makeItem("op/config", routingDocument(), 12),
+                        makeItem("servers/i-7f3a91c2", upstreamValue(), 14),
+                        makeItem("other/key", "x", 15)}},
+                      {"has-more", true},
+                      {"store-revision", 15}});
+  CHECK(Response.HasMore_);
+  CHECK(Response.StoreRevision_ == 15);
+  CHECK(Response.LastKey_ == "other/key");
+  CHECK(Response.RefusedItems_.empty());
+  REQUIRE(Response.Changes_.size() == 1);
+  const UpstreamEntry &E = *Response.Changes_[0].Entry_;
   CHECK(E.Incarnation_ == Incarnation{0x7f3a91c2});
   CHECK(E.At_ == parseEndpoint("10.128.0.9:8080"));
   CHECK(E.DataHall_ == "ams-hall-a");
   CHECK(E.Slots_ == 3);
   CHECK_FALSE(E.Draining_);
   CHECK(E.WarmAt_ == Now + std::chrono::milliseconds(1500));
-  CHECK(A.Changes_[0].Revision_ == 14);
+  CHECK(Response.Changes_[0].Revision_ == 14);
 }
 
 TEST_CASE("the operators' document") {
-  StoreAnswer A = decode({{"items", {item("op/config", configuration(), 12)}},
-                          {"has-more", false},
-                          {"store-revision", 15}});
-  REQUIRE(A.Routing_);
-  CHECK(A.Routing_->Version_ == 7);
-  CHECK(A.Routing_->IdleTimeout_ == std::chrono::seconds(15));
-  const auto *Split = A.Routing_->find(parseEndpoint("198.18.0.1:8443"));
+  StoreResponse Response =
+      decodeResponse({{"items", {makeItem("op/config", routingDocument(), 12)}},
+                      {"has-more", false},
+                      {"store-revision", 15}});
+  REQUIRE(Response.Routing_);
+  CHECK(Response.Routing_->Version_ == 7);
+  CHECK(Response.Routing_->IdleTimeout_ == std::chrono::seconds(15));
+  const auto *Split = Response.Routing_->find(parseEndpoint("198.18.0.1:8443"));
   REQUIRE(Split);
   REQUIRE(Split->size() == 2); // no share without weight
   CHECK((*Split)[0].Weight_ == 90);
-  CHECK(A.Routing_->serviceName((*Split)[1].Service_) == "archive");
-  CHECK(A.Routing_->find(parseEndpoint("198.18.0.2:8080")));
-  CHECK_FALSE(A.Routing_->find(parseEndpoint("198.18.0.2:8443")));
+  CHECK(Response.Routing_->serviceName((*Split)[1].Service_) == "archive");
+  CHECK(Response.Routing_->find(parseEndpoint("198.18.0.2:8080")));
+  CHECK_FALSE(Response.Routing_->find(parseEndpoint("198.18.0.2:8443")));
 }
 
 TEST_CASE("the birth of a start") {
-  Json Told = upstream();
-  Told["born"] = 1772424720123;
-  StoreAnswer A = decode(
-      {{"items", {item("servers/i-1", Told, 1)}}, {"store-revision", 1}});
-  REQUIRE(A.Changes_[0].Entry_);
-  CHECK(A.Changes_[0].Entry_->StartTimeMs_ == 1772424720123);
+  Json Entry = upstreamValue();
+  Entry["born"] = 1772424720123;
+  StoreResponse Response = decodeResponse(
+      {{"items", {makeItem("servers/i-1", Entry, 1)}}, {"store-revision", 1}});
+  REQUIRE(Response.Changes_[0].Entry_);
+  CHECK(Response.Changes_[0].Entry_->StartTimeMs_ == 1772424720123);
 }
 
 namespace {
@@ -103,7 +105,7 @@
 rc::Gen<Json> wrongValue(const std::string &Field) {
   std::vector<Json> Values = {nullptr,       true,          -1, 2.5, 1e300,
                               Json::array(), Json::object()};
-  bool Text = upstream()[Field].is_string();
+  bool Text = upstreamValue()[Field].is_string();
   Values.push_back(Text ? Json(7) : Json("7"));
   // Beyond every bound that a number has; `call-seq` has none.
   if (!Text && Field != "call-seq")
@@ -120,149 +122,159 @@
 TEST_CASE("an entry of another writer names no upstream, and others hold") {
   rc::check([] {
     std::vector<std::string> Fields;
-    Json Other = upstream();
-    for (const auto &Known : Other.items())
+    Json Invalid = upstreamValue();
+    for (const auto &Known : Invalid.items())
       Fields.push_back(Known.key());
     auto Field = *rc::gen::elementOf(Fields);
     if (*rc::gen::arbitrary<bool>())
-      Other.erase(Field);
+      Invalid.erase(Field);
     else
-      Other[Field] = *wrongValue(Field);
-    StoreAnswer A = decode(
-        {{"events",
-          {item("servers/i-1", upstream(), 1), item("servers/i-2", Other, 2),
-           item("servers/i-3", upstream(), 3)}},
-         {"store-revision", 3}});
-    RC_ASSERT(A.Changes_.size() == 3U);
-    RC_ASSERT(A.Changes_[0].Entry_.has_value());
-    RC_ASSERT(!A.Changes_[1].Entry_.has_value());
-    RC_ASSERT(A.Changes_[1].Revision_ == 2U);
-    RC_ASSERT(A.Changes_[2].Entry_.has_value());
-    RC_ASSERT(A.Refused_.size() == 1U);
-    RC_ASSERT(A.Refused_[0].find("servers/i-2: ") == 0U);
+      Invalid[Field] = *wrongValue(Field);
+    StoreResponse Response =
+        decodeResponse({{"events",
+                         {makeItem("servers/i-1", upstreamValue(), 1),
+                          makeItem("servers/i-2", Invalid, 2),
+                          makeItem("servers/i-3", upstreamValue(), 3)}},
+                        {"store-revision", 3}});
+    RC_ASSERT(Response.Changes_.size() == 3U);
+    RC_ASSERT(Response.Changes_[0].Entry_.has_value());
+    RC_ASSERT(!Response.Changes_[1].Entry_.has_value());
+    RC_ASSERT(Response.Changes_[1].Revision_ == 2U);
+    RC_ASSERT(Response.Changes_[2].Entry_.has_value());
+    RC_ASSERT(Response.RefusedItems_.size() == 1U);
+    RC_ASSERT(Response.RefusedItems_[0].find("servers/i-2: ") == 0U);
   });
 }
 
 TEST_CASE("what is no entry at all names no upstream either") {
   for (const char *Born :
        {"\"1772424720123\"", "1.5", "-4", "null", "[1]", "9999999999999999"}) {
-    Json Other = upstream();
-    Other["born"] = Json::parse(Born);
-    StoreAnswer A = decode(
-        {{"items", {item("servers/i-2", Other, 2)}}, {"store-revision", 3}});
+    Json Invalid = upstreamValue();
+    Invalid["born"] = Json::parse(Born);
+    StoreResponse Response =
+        decodeResponse({{"items", {makeItem("servers/i-2", Invalid, 2)}},
+                        {"store-revision", 3}});
     CAPTURE(Born);
-    CHECK_FALSE(A.Changes_.at(0).Entry_);
+    CHECK_FALSE(Response.Changes_.at(0).Entry_);
   }
   for (const std::string &Value :
        {std::string("\xff\xfe"), std::string("{\"zone\":\"\xc3\x28\"}"),
         std::string("[]"), std::string("7"), std::string(),
         std::string(1 << 20, '['), std::string(1 << 20, 'x')}) {
-    Json Item = item("servers/i-2", Json::object(), 2);
+    Json Item = makeItem("servers/i-2", Json::object(), 2);
     Item["val"] = base64(Value);
-    StoreAnswer A =
-        decode({{"events", {Item, item("servers/i-3", upstream(), 3)}},
-                {"store-revision", 3}});
-    REQUIRE(A.Changes_.size() == 2);
-    CHECK_FALSE(A.Changes_[0].Entry_);
-    CHECK(A.Changes_[1].Entry_);
+    StoreResponse Response = decodeResponse(
+        {{"events", {Item, makeItem("servers/i-3", upstreamValue(), 3)}},
+         {"store-revision", 3}});
+    REQUIRE(Response.Changes_.size() == 2);
+    CHECK_FALSE(Response.Changes_[0].Entry_);
+    CHECK(Response.Changes_[1].Entry_);
   }
 }
 
 TEST_CASE("an item without a key, revision or value does not spoil its page") {
-  Json NoKey = item("servers/i-1", upstream(), 1);
+  Json NoKey = makeItem("servers/i-1", upstreamValue(), 1);
   NoKey["key-file"] = 5;
-  Json NoRevision = item("servers/i-2", upstream(), 2);
+  Json NoRevision = makeItem("servers/i-2", upstreamValue(), 2);
   NoRevision["revision"] = "2";
-  Json NoValue = item("servers/i-3", upstream(), 3);
+  Json NoValue = makeItem("servers/i-3", upstreamValue(), 3);
   NoValue["val"] = Json::array();
   Json NoObject = 17;
-  StoreAnswer A = decode({{"items",
-                           {NoKey, NoRevision, NoValue, NoObject,
-                            item("servers/i-4", upstream(), 4)}},
-                          {"store-revision", 4}});
-  CHECK(A.Refused_.size() == 4);
-  REQUIRE(A.Changes_.size() == 2);
-  CHECK_FALSE(A.Changes_[0].Entry_);
-  CHECK(A.Changes_[1].Incarnation_ == Incarnation{4});
+  StoreResponse Response =
+      decodeResponse({{"items",
+                       {NoKey, NoRevision, NoValue, NoObject,
+                        makeItem("servers/i-4", upstreamValue(), 4)}},
+                      {"store-revision", 4}});
+  CHECK(Response.RefusedItems_.size() == 4);
+  REQUIRE(Response.Changes_.size() == 2);
+  CHECK_FALSE(Response.Changes_[0].Entry_);
+  CHECK(Response.Changes_[1].Incarnation_ == Incarnation{4});
 }
 
 TEST_CASE("events of a watch") {
   Json Gone = {
       {"key-file", "servers/i-ab"}, {"revision", 413}, {"is-gone", true}};
-  StoreAnswer A = decode(
-      {{"events", {item("servers/i-cd", upstream("draining"), 412), Gone}},
+  StoreResponse Response = decodeResponse(
+      {{"events",
+        {makeItem("servers/i-cd", upstreamValue("draining"), 412), Gone}},
        {"store-revision", 413}});
-  REQUIRE(A.Changes_.size() == 2);
-  CHECK(A.Changes_[0].Entry_->Draining_);
-  CHECK(A.Changes_[1].Incarnation_ == Incarnation{0xab});
-  CHECK_FALSE(A.Changes_[1].Entry_);
+  REQUIRE(Response.Changes_.size() == 2);
+  CHECK(Response.Changes_[0].Entry_->Draining_);
+  CHECK(Response.Changes_[1].Incarnation_ == Incarnation{0xab});
+  CHECK_FALSE(Response.Changes_[1].Entry_);
 }
 
 TEST_CASE("a bad item is left out by name and the others are taken") {
-  Json NoAddress = upstream();
+  Json NoAddress = upstreamValue();
   NoAddress["address"] = "nowhere";
-  Json BadConfiguration = configuration();
+  Json BadConfiguration = routingDocument();
   BadConfiguration["routes"][0]["path-prefix"] = "8443";
-  Json NotBase64 = item("servers/i-4", upstream(), 4);
+  Json NotBase64 = makeItem("servers/i-4", upstreamValue(), 4);
   NotBase64["val"] = "***";
-  StoreAnswer A = decode({{"items",
-                           {item("servers/i-1", NoAddress, 1),
-                            item("servers/i-xyz", upstream(), 2),
-                            item("op/config", BadConfiguration, 3), NotBase64,
-                            item("servers/i-5", upstream(), 5)}},
-                          {"store-revision", 5}});
-  CHECK(A.Refused_.size() == 4);
-  CHECK(A.Refused_[0].find("servers/i-1: ") == 0);
-  CHECK_FALSE(A.Routing_);
+  StoreResponse Response =
+      decodeResponse({{"items",
+                       {makeItem("servers/i-1", NoAddress, 1),
+                        makeItem("servers/i-xyz", upstreamValue(), 2),
+                        makeItem("op/config", BadConfiguration, 3), NotBase64,
+                        makeItem("servers/i-5", upstreamValue(), 5)}},
+                      {"store-revision", 5}});
+  CHECK(Response.RefusedItems_.size() == 4);
+  CHECK(Response.RefusedItems_[0].find("servers/i-1: ") == 0);
+  CHECK_FALSE(Response.Routing_);
   // Those whose key can be read name no upstream to use.
-  REQUIRE(A.Changes_.size() == 3);
-  CHECK(A.Changes_[0] == UpstreamChange{Incarnation{1}, 1, std::nullopt});
-  CHECK(A.Changes_[1] == UpstreamChange{Incarnation{4}, 4, std::nullopt});
-  CHECK(A.Changes_[2].Incarnation_ == Incarnation{5});
-  CHECK(A.Changes_[2].Entry_);
+  REQUIRE(Response.Changes_.size() == 3);
+  CHECK(Response.Changes_[0] ==
+        UpstreamChange{Incarnation{1}, 1, std::nullopt});
+  CHECK(Response.Changes_[1] ==
+        UpstreamChange{Incarnation{4}, 4, std::nullopt});
+  CHECK(Response.Changes_[2].Incarnation_ == Incarnation{5});
+  CHECK(Response.Changes_[2].Entry_);
 }
 
 TEST_CASE("limits of cold upstreams, of which 0 is none") {
-  Json Document = configuration();
+  Json Document = routingDocument();
   Document["backends"][0]["warmup-per-s"] = 2.5;
   Document["backends"][1]["warmup-per-s"] = 0.0;
-  StoreAnswer A = decode(
-      {{"items", {item("op/config", Document, 12)}}, {"store-revision", 15}});
-  REQUIRE(A.Routing_);
-  CHECK(A.Routing_->coldFlowsPerSecond(
+  StoreResponse Response =
+      decodeResponse({{"items", {makeItem("op/config", Document, 12)}},
+                      {"store-revision", 15}});
+  REQUIRE(Response.Routing_);
+  CHECK(Response.Routing_->coldFlowsPerSecond(
             static_cast<ServiceId>(nameId("index"))) == 2.5);
-  CHECK(A.Routing_->ColdFlowsPerSecond_.size() == 1);
+  CHECK(Response.Routing_->ColdFlowsPerSecond_.size() == 1);
   Document["backends"][0]["warmup-per-s"] = -1;
-  A = decode(
-      {{"items", {item("op/config", Document, 12)}}, {"store-revision", 15}});
-  CHECK_FALSE(A.Routing_);
-  REQUIRE(A.Refused_.size() == 1);
-  CHECK(A.Refused_[0] == "op/config: service 'index' has a cold limit below 0");
+  Response = decodeResponse({{"items", {makeItem("op/config", Document, 12)}},
+                             {"store-revision", 15}});
+  CHECK_FALSE(Response.Routing_);
+  REQUIRE(Response.RefusedItems_.size() == 1);
+  CHECK(Response.RefusedItems_[0] ==
+        "op/config: service 'index' has a cold limit below 0");
 }
 
 TEST_CASE("evacuated data halls") {
   Json Gone = {{"key-file", "op/evacuate/ams-hall-b"},
                {"revision", 23},
                {"is-gone", true}};
-  Json Unnamed = item("op/evacuate/", Json::object(), 24);
-  Json NoRevision = item("op/evacuate/ams-hall-c", Json::object(), 25);
+  Json Unnamed = makeItem("op/evacuate/", Json::object(), 24);
+  Json NoRevision = makeItem("op/evacuate/ams-hall-c", Json::object(), 25);
   NoRevision.erase("revision");
-  StoreAnswer A = decode({{"events",
-                           {item("op/evacuate/ams-hall-a", Json::object(), 22),
-                            Gone, Unnamed, NoRevision}},
-                          {"store-revision", 25}});
-  CHECK(A.Evacuations_ ==
+  StoreResponse Response =
+      decodeResponse({{"events",
+                       {makeItem("op/evacuate/ams-hall-a", Json::object(), 22),
+                        Gone, Unnamed, NoRevision}},
+                      {"store-revision", 25}});
+  CHECK(Response.Evacuations_ ==
         std::vector<EvacuationChange>{{"ams-hall-a", 22, true},
                                       {"ams-hall-b", 23, false}});
-  REQUIRE(A.Refused_.size() == 2);
-  CHECK(A.Refused_[0] == "op/evacuate/: it names no data hall");
-  CHECK(A.Refused_[1].find("op/evacuate/ams-hall-c: ") == 0);
+  REQUIRE(Response.RefusedItems_.size() == 2);
+  CHECK(Response.RefusedItems_[0] == "op/evacuate/: it names no data hall");
+  CHECK(Response.RefusedItems_[1].find("op/evacuate/ams-hall-c: ") == 0);
 }
 
 TEST_CASE("damaged answers never do more than fail") {
   Json Root = {{"items",
-                {item("op/config", configuration(), 12),
-                 item("servers/i-7f3a91c2", upstream(), 14)}},
+                {makeItem("op/config", routingDocument(), 12),
+                 makeItem("servers/i-7f3a91c2", upstreamValue(), 14)}},
                {"has-more", false},
                {"store-revision", 15}};
   std::string Good = Root.dump();
@@ -273,7 +285,7 @@
     if (*rc::gen::arbitrary<bool>())
       Text.resize(Cut);
     std::string Reason;
-    auto Answer = decodeStoreAnswer(Text, Now, Reason);
+    auto Answer = decodeStoreResponse(Text, Now, Reason);
     RC_ASSERT(Answer.has_value() || !Reason.empty());
   });
 }
