--- a/include/thymewall/packet-settings.h
+++ b/include/thymewall/packet-settings.h
@@ -1,5 +1,6 @@
 /// \file
-/// Settings of a packet balancer's process: one JSON object, every key checked.
+/// Settings of a packet balancer's process, read from one JSON object. Unknown
+/// keys and missing required ones are errors.
 #ifndef THYMEWALL_PACKET_SETTINGS_H
 #define THYMEWALL_PACKET_SETTINGS_H
 
@@ -12,30 +13,33 @@
 struct PacketSettings {
   std::string Name_;
   std::string DataHall_;
-  Endpoint PacketAddress_;    ///< Callers' packets arrive here.
-  Endpoint ReadinessAddress_; ///< Asked by the fabric.
-  Endpoint ControlAddress_;   ///< Peers' connections arrive here.
-  Endpoint
-      AdvertisedControlAddress_;  ///< What peers are told; default: the same.
-  Endpoint ConfigServiceAddress_; ///< The configuration service.
+  Endpoint PacketAddress_;            ///< Listens for callers' packets.
+  Endpoint ReadinessAddress_;         ///< Listens for readiness checks.
+  Endpoint ControlAddress_;           ///< Listens for peers' connections.
+  Endpoint AdvertisedControlAddress_; ///< Defaults to `ControlAddress_`.
+  Endpoint ConfigServiceAddress_;
   std::uint16_t MetricsPort_ = 0;
-  std::vector<Endpoint> Seeds_; ///< Control addresses of a few peers.
-  Micros MaxRoutingDelay_{};    ///< A routing table must be in force by then.
-  Micros StopTimeout_{};        ///< After a stop signal, before force is used.
-  Micros MaxFlowAge_{};         ///< A flow older than this may be forgotten.
-  /// How far what a cold upstream gets may go over what its service publishes:
-  /// so many times, and so many flows a second more.
+  std::vector<Endpoint> Seeds_; ///< Control addresses of some peers.
+  /// Upper bound on the time until a published routing table is in force.
+  Micros MaxRoutingDelay_{};
+  /// Time from a stop signal until the platform kills the process.
+  Micros StopTimeout_{};
+  /// Age at which a flow may be removed from the table.
+  Micros MaxFlowAge_{};
+  /// A cold upstream gets at most the limit that its service publishes times
+  /// `ColdOver_`, plus `ColdSlack_` flows a second.
   double ColdOver_ = 1;
   double ColdSlack_ = 0;
 };
 bool operator==(const PacketSettings &A, const PacketSettings &B);
 
-/// Parses settings; the error object is `Problems`.
+/// Parses settings. On failure the error object is `Problems`, one for each bad
+/// key. \p File names the source in them.
 boost::leaf::result<PacketSettings>
 parsePacketSettings(const std::string &Text, const std::string &File);
 
-/// The keys of \p Changed that differ from \p Running and can't change while a
-/// process runs: its name, its place and the addresses that it has bound.
+/// Returns the keys that differ and take effect only after a restart: the name,
+/// the data hall and the addresses.
 std::vector<std::string> keysNeedingRestart(const PacketSettings &Running,
                                             const PacketSettings &Changed);
 
--- a/src/packet-log.h
+++ b/src/packet-log.h
@@ -1,5 +1,5 @@
 /// \file
-/// Log lines of a packet balancer (docs/OPERATIONS.md lists them).
+/// Log lines of a packet balancer, which docs/OPERATIONS.md lists.
 #ifndef THYMEWALL_SRC_PACKET_LOG_H
 #define THYMEWALL_SRC_PACKET_LOG_H
 
@@ -9,21 +9,21 @@
 
 namespace thymewall::detail {
 
-/// An upstream's incarnation as lines and pages show it: hexadecimal.
+/// Formats an incarnation as a hexadecimal number, as logs and pages show it.
 std::string formatIncarnation(Incarnation Which);
 
 void logPacketDecision(const Decision &D);
 void logUpstreamEvent(const UpstreamEvent &B);
 void logReset(const ResetFlow &R);
 void logEvacuation(const EvacuationChange &Change);
-/// Many changes of the list at once: their numbers in place of a line each.
+/// Logs the numbers of listed and ended upstreams instead of a line for each.
 void logUpstreamSummary(const std::vector<UpstreamChange> &Changes,
                         Revision Through);
 void logRouting(const RoutingTable &Table);
 
-/// Tells what this process knows of the configuration service: that calls to it
-/// have begun to fail, and then either that one was served again or that a peer
-/// reads it, so that this process no longer calls.
+/// Logs the availability of the configuration service: the first failed call,
+/// then either the next successful one or that a peer reads the service, so
+/// that this process no longer calls it.
 class ConfigServiceLog {
 public:
   using Writer = std::function<void(std::string_view, const LogFields &)>;
@@ -32,14 +32,14 @@
       : Write_(std::move(Write)) {}
 
   void answered(MonoTime Now, const ConfigResponse &Response);
-  /// All that was published up to \p AsOf is known, whoever read it.
+  /// Records that the state is complete as of \p AsOf, whoever read it.
   void confirmed(MonoTime AsOf);
 
 private:
   bool failing() const { return FailedAt_ != MonoTime{}; }
 
   Writer Write_;
-  MonoTime FailedAt_{}; ///< Of the first failure since a success; none: 0.
+  MonoTime FailedAt_{}; ///< First failure since a success, or 0.
 };
 
 } // namespace thymewall::detail
--- a/src/packet-pages.cc
+++ b/src/packet-pages.cc
@@ -23,6 +23,7 @@
   }
 }
 
+/// Returns all counters by name, for both the JSON and the metrics page.
 std::vector<NamedValue> counterValues(const PacketReport &R) {
   const PacketCounters &C = R.Counters_;
   std::vector<NamedValue> Result = {
@@ -64,7 +65,8 @@
   return Result;
 }
 
-/// Age of what is known, in milliseconds; -1 when nothing is.
+/// Returns the time since the last confirmation of the state, in milliseconds,
+/// or -1 if there was none.
 std::int64_t knowledgeAgeMs(const PacketReport &R) {
   if (R.Status_.ConfirmedAsOf_ == MonoTime{})
     return -1;
--- a/src/packet-pages.h
+++ b/src/packet-pages.h
@@ -11,7 +11,7 @@
 
 namespace thymewall::detail {
 
-/// Everything that the pages show.
+/// Data for the pages.
 struct PacketReport {
   std::string Name_;
   bool Ready_ = false;
@@ -28,12 +28,13 @@
   std::uint64_t ServiceFailures_ = 0;
   std::uint64_t RefusedItems_ = 0;
   std::uint64_t LogLinesDropped_ = 0;
-  bool ReadsForFleet_ =
-      false; ///< Reads the configuration service for the fleet.
+  /// Whether this balancer reads the configuration service for the fleet.
+  bool ReadsForFleet_ = false;
   const DelayMetrics *Delays_ = nullptr;
 };
 
-/// "/metrics" in Prometheus text format, "/status" and "/histograms" as JSON.
+/// Returns the page at \p Path: "/metrics" in Prometheus text format, "/status"
+/// and "/histograms" as JSON.
 HttpPage packetPage(const PacketReport &R, const std::string &Path);
 
 } // namespace thymewall::detail
--- a/src/packet-process-control.cc
+++ b/src/packet-process-control.cc
@@ -9,12 +9,13 @@
 
 namespace {
 
-/// The fabric asks for readiness twice a second and takes a balancer out after
-/// two bad answers; one more second for packets under way.
+/// Time until the fabric stops sending packets to a balancer that isn't ready.
+/// It checks readiness twice a second and removes the balancer after two
+/// failures; the other second is for packets in transit.
 constexpr Micros FabricReactionTime = std::chrono::milliseconds(2000);
-/// No packet for this long after that: the fabric sends nothing any more.
+/// Time without packets after which the process may end.
 constexpr Micros QuietPeriod = std::chrono::milliseconds(1000);
-/// Before the platform would end the process by force.
+/// Time that the process ends before the platform kills it.
 constexpr Micros StopMargin = std::chrono::milliseconds(600);
 
 } // namespace
@@ -27,7 +28,6 @@
            {{"data_hall", Settings_.DataHall_}});
 }
 
-/// After a stop signal: forwards until the fabric sends nothing any more.
 void PacketProcess::Impl::stopIfQuiet(MonoTime Now) {
   bool IsQuiet = Now >= EarliestStopAt_ && Now - LastPacketAt_ >= QuietPeriod;
   if (!IsQuiet && Now < StopDeadline_)
@@ -42,7 +42,7 @@
   return {ready() ? 200U : 503U, "text/plain", ""};
 }
 
-/// Without its metrics a balancer still serves: a port in use is only told.
+// The balancer works without its metrics, so a port in use is only logged.
 void PacketProcess::Impl::serveMetrics() {
   Endpoint Where = Settings_.ReadinessAddress_;
   Where.Port_ = Settings_.MetricsPort_;
@@ -114,7 +114,6 @@
       Now + std::max(Settings_.StopTimeout_ - StopMargin, Micros(0));
 }
 
-/// Takes changed settings in; those that need a restart are only told.
 void PacketProcess::Impl::applySettings(const char *Cause) {
   std::optional<PacketSettings> Changed = Watch_.parse();
   if (!Changed)
--- a/src/packet-process-impl.h
+++ b/src/packet-process-impl.h
@@ -1,7 +1,7 @@
 /// \file
-/// Inside of `PacketProcess`: packets and time (packet-process.cc), peers and
-/// the configuration service (packet-process-news.cc), and what operators and
-/// the platform ask of it (packet-process-control.cc).
+/// Implementation of `PacketProcess`: packets and timers in packet-process.cc,
+/// peers and the configuration service in packet-process-news.cc, status pages,
+/// signals and settings in packet-process-control.cc.
 #ifndef THYMEWALL_SRC_PACKET_PROCESS_IMPL_H
 #define THYMEWALL_SRC_PACKET_PROCESS_IMPL_H
 
@@ -23,15 +23,17 @@
 
 namespace thymewall::detail {
 
-/// How often the settings file is looked at without a signal.
+/// Interval at which the settings file is checked for changes.
 constexpr Micros SettingsPollInterval = std::chrono::seconds(2);
 
-/// A start reaches its first peer in some ten milliseconds, through a seed that
-/// hundreds ask at once in half a second.
+/// Time after the start without any peer after which there is none to get the
+/// upstream list from. A seed that hundreds of processes contact at once
+/// answers within half a second.
 constexpr Micros FirstPeerTimeout = std::chrono::milliseconds(1500);
 
-/// How recent knowledge must be to say that an address is unknown. Half a
-/// second of the bound is left for the packet's way and for the clocks.
+/// Returns the maximum age of the state at which packets to unknown addresses
+/// are reset. The margin covers the transit time of a packet and clock
+/// differences.
 inline Micros resetStalenessLimit(const PacketSettings &S) {
   constexpr Micros Margin = std::chrono::milliseconds(500);
   return std::max(S.MaxRoutingDelay_ - Margin, Micros(0));
@@ -44,9 +46,14 @@
 
 private:
   void onPacket(const std::uint8_t *Data, std::size_t Size);
+  /// Decides on a packet and executes the verdict. Returns false if the packet
+  /// should be held until more upstreams are known.
   bool steer(MonoTime Now, const std::uint8_t *Data, std::size_t Size);
+  /// Retries the packets that were held for lack of an upstream.
   void releaseHeldPackets();
+  /// Logs the first time that the core is ready and releases held packets.
   void checkReady();
+  /// Logs the first confirmed state, which ends the start-up phase.
   void logFirstConfirmation();
   void retryOpening(MonoTime Now, const std::uint8_t *Data, std::size_t Size);
   void execute(const Forward &F, const std::uint8_t *Data, std::size_t Size);
@@ -54,18 +61,25 @@
   void execute(const Dropped &D, const std::uint8_t *Data, std::size_t Size);
   PeerLinkHooks linkHooks();
   CheckerHooks checkerHooks();
+  /// Pings all peers, unless that was done just now. Returns the time of the
+  /// ping.
   MonoTime probePeers();
   void onPong(const std::string &Bytes);
   GossipHooks gossipHooks();
   void onPeerMessage(LinkId Link, const std::string &Bytes);
   void sendReset(const ResetFlow &R);
   void onConfigResponse(const ConfigResponse &Response);
+  /// Runs the tick and the call of the configuration service that are due, and
+  /// rearms the timer.
   void runDueWork();
+  /// Ends the process after a stop signal, once no packets arrive any more or
+  /// at the deadline.
   void stopIfQuiet(MonoTime Now);
   void startConfigCall(MonoTime Now);
   HttpPage readinessPage(const std::string &Path);
   void serveMetrics();
   PacketReport report();
+  /// Returns the name of a service for metrics.
   std::string serviceLabel(ServiceId Id) const;
   bool ready() const {
     return Core_.ready() && StopDeadline_ == MonoTime::max() && !DataHallLost_;
@@ -74,6 +88,7 @@
   void awaitSignal();
   void onReloadSignal();
   void beginShutdown();
+  /// Applies changed settings, except for those that need a restart.
   void applySettings(const char *Cause);
   void pollSettings(MonoTime Now);
 
@@ -81,11 +96,11 @@
   PacketSettings Settings_;
   SettingsWatch Watch_;
   PlatformHooks Hooks_;
-  UdpSocket Packets_; ///< First: what comes from now on waits in it.
+  UdpSocket Packets_; ///< Bound first, so that early packets queue in it.
   DelayMetrics Delays_;
   RoutingTablePtr Routing_;
   PacketBalancer Core_;
-  HeldPackets Held_; ///< Until the core is ready or upstreams are published.
+  HeldPackets Held_; ///< Packets that wait for a routing table or an upstream.
   OpeningRetries Openings_;
   PeerProbes Probes_;
   UpstreamChecker Checker_;
@@ -102,17 +117,17 @@
   MonoTime NextTick_{};
   MonoTime NextSettingsPollAt_{};
   MonoTime LastPacketAt_{};
-  MonoTime
-      FirstPeerDeadline_{}; ///< Without any by then, none can tell of the list.
+  MonoTime FirstPeerDeadline_{};
   std::uint64_t Malformed_ = 0;
   std::uint64_t ServiceCalls_ = 0;
   std::uint64_t ServiceFailures_ = 0;
-  std::uint64_t RefusedItems_ = 0; ///< Published ones that can't be read.
+  std::uint64_t RefusedItems_ = 0; ///< Published items that can't be decoded.
   bool ReadyLogged_ = false;
   bool FirstConfirmationLogged_ = false;
-  bool DataHallLost_ = false; ///< Other data halls serve callers better.
-  MonoTime EarliestStopAt_ =
-      MonoTime::max(); ///< Earliest end after a stop signal.
+  /// Whether other data halls serve callers better than this one.
+  bool DataHallLost_ = false;
+  /// Bounds of the end of the process; set by a stop signal.
+  MonoTime EarliestStopAt_ = MonoTime::max();
   MonoTime StopDeadline_ = MonoTime::max();
 };
 
--- a/src/packet-process-news.cc
+++ b/src/packet-process-news.cc
@@ -64,13 +64,13 @@
   };
   Hooks.ProbePeers_ = [this] { return probePeers(); };
   Hooks.ProbeAnswered_ = [this](MonoTime ProbedAt) {
-    // A balancer without peers has nobody to ask.
+    // A balancer without peers has no one to probe.
     return Gossip_.counters().Members_ == 0 || Probes_.answeredSince(ProbedAt);
   };
   return Hooks;
 }
 
-/// A ping carries the time of its question, which only this process reads.
+// The payload of a ping is the time at which it was sent.
 MonoTime PacketProcess::Impl::probePeers() {
   MonoTime Now = monoNow();
   if (Probes_.shouldProbe(Now))
@@ -99,7 +99,6 @@
   Links_.close(Link);
 }
 
-/// The end of a start: until then a stale list was all that was known.
 void PacketProcess::Impl::logFirstConfirmation() {
   if (FirstConfirmationLogged_)
     return;
--- a/src/packet-process.cc
+++ b/src/packet-process.cc
@@ -15,8 +15,9 @@
   return std::uniform_real_distribution<double>(0, 1)(Device);
 }
 
-/// A refusal that ends once upstreams are published: all of them are missing
-/// for up to 2 s after the configuration service was away.
+/// Returns whether the error may disappear when upstreams are published. After
+/// an outage of the configuration service all of them are missing for up to
+/// 2 s.
 bool isTransientError(ErrorKind Why) {
   return Why == ErrorKind::NoneLeft || Why == ErrorKind::UnknownCookie;
 }
@@ -86,7 +87,7 @@
       Timer_(Context), Signals_(Context, SIGTERM, SIGINT, SIGHUP) {
   NextSettingsPollAt_ = monoNow() + SettingsPollInterval;
   FirstPeerDeadline_ = monoNow() + FirstPeerTimeout;
-  Core_.onBalancerJoined(monoNow()); // others may come with it
+  Core_.onBalancerJoined(monoNow()); // others may start at the same time
   awaitSignal();
   serveMetrics();
   logState("started", {{"packets", formatEndpoint(Settings_.PacketAddress_)},
@@ -100,7 +101,6 @@
     Held_.hold(LastPacketAt_, Data, Size);
 }
 
-/// False when the packet's upstream, or any for it, is not known yet.
 bool PacketProcess::Impl::steer(MonoTime Now, const std::uint8_t *Data,
                                 std::size_t Size) {
   Packet P;
@@ -118,7 +118,6 @@
   return true;
 }
 
-/// Sends on what has waited for upstreams.
 void PacketProcess::Impl::releaseHeldPackets() {
   MonoTime Now = monoNow();
   Held_.release(Now, [this, Now](const std::uint8_t *Data, std::size_t Size) {
@@ -187,7 +186,6 @@
   });
 }
 
-/// Once there is something to steer by: sends on what has waited for it.
 void PacketProcess::Impl::checkReady() {
   if (ReadyLogged_ || !Core_.ready())
     return;
--- a/src/packet-process.h
+++ b/src/packet-process.h
@@ -1,6 +1,6 @@
 /// \file
-/// Sockets, timers and HTTP around a `PacketBalancer`. What speaks to a
-/// platform comes in as hooks.
+/// Process of a packet balancer: sockets, timers and HTTP servers around a
+/// `PacketBalancer`. Hooks adapt it to a platform.
 #ifndef THYMEWALL_SRC_PACKET_PROCESS_H
 #define THYMEWALL_SRC_PACKET_PROCESS_H
 
@@ -12,18 +12,18 @@
 
 namespace thymewall::detail {
 
-/// Buffers for datagrams: larger than any that a platform sends.
+/// Size of the buffers for datagrams, larger than any datagram of a platform.
 constexpr std::size_t MaxPacketBytes = 2048;
 
-/// Makes a call of the configuration service and gives its answer once.
+/// Calls the configuration service. `Done` is called exactly once.
 using ConfigClient =
     std::function<void(const ConfigRequest &Request,
                        std::function<void(const ConfigResponse &)> Done)>;
 
-/// What an adapter provides. Encoders fill a buffer of `MaxPacketBytes` bytes
-/// and give the size.
+/// Functions of the platform adapter. Encoders write to a buffer of
+/// `MaxPacketBytes` bytes and return the size.
 struct PlatformHooks {
-  /// False when the bytes are no packet.
+  /// Returns false if the bytes are not a packet.
   std::function<bool(const std::uint8_t *Data, std::size_t Size, Packet &P)>
       Decode_;
   std::function<std::size_t(const Forward &F, const std::uint8_t *Data,
@@ -38,8 +38,8 @@
 
 class PacketProcess {
 public:
-  /// Throws `std::system_error` when an address can't be bound.
-  /// \p SettingsPath is read again on SIGHUP and when it changes.
+  /// Throws `std::system_error` if an address can't be bound. The settings file
+  /// at \p SettingsPath is reloaded on SIGHUP and when its text changes.
   PacketProcess(asio::io_context &Context, const PacketSettings &Configured,
                 std::string SettingsPath, PlatformHooks Hooks);
   ~PacketProcess();
--- a/src/packet-settings.cc
+++ b/src/packet-settings.cc
@@ -8,10 +8,10 @@
 
 namespace {
 
-/// Bounds of times in settings: more than a day is a mistake in the unit.
+/// One day; a longer time is probably given in the wrong unit.
 constexpr std::int64_t MaxTimeMs = 86'400'000;
 
-/// Bounds of what a cold upstream may get: more is a mistake in writing.
+/// Upper bounds that catch typing errors.
 constexpr double MaxColdOver = 100;
 constexpr double MaxColdSlack = 100'000;
 
--- a/src/peer-links.cc
+++ b/src/peer-links.cc
@@ -10,9 +10,10 @@
 
 namespace {
 
-/// Limits on opening and closing handshakes: round trips take milliseconds.
+/// Timeout of opening and closing handshakes; a round trip takes milliseconds.
 constexpr long HandshakeTimeoutMs = 1500;
-/// Bytes that a peer which doesn't read may hold up; then its link is closed.
+/// Unsent bytes of a link above which it is closed, since its peer doesn't
+/// read.
 constexpr std::size_t MaxBufferedBytes = 16 << 20;
 
 // The member names are the library's.
--- a/src/peer-links.h
+++ b/src/peer-links.h
@@ -1,6 +1,6 @@
 /// \file
-/// Connections between balancers: websocketpp in both directions, whole binary
-/// messages. What is linked to and said is decided elsewhere.
+/// WebSocket connections between balancers, in both directions, with binary
+/// messages. The caller decides whom to connect to and what to send.
 #ifndef THYMEWALL_SRC_PEER_LINKS_H
 #define THYMEWALL_SRC_PEER_LINKS_H
 
@@ -11,28 +11,30 @@
 namespace thymewall::detail {
 
 struct PeerLinkHooks {
-  /// \p Target is empty for a connection that a peer opened.
+  /// A connection was established. \p Target is empty if the peer opened it.
   std::function<void(LinkId, const std::string &Target)> OnOpen_;
   std::function<void(LinkId, const std::string &Bytes)> OnMessage_;
   std::function<void(LinkId)> OnClose_;
+  /// A connection to \p Target could not be established.
   std::function<void(const std::string &Target)> OnConnectFailed_;
-  /// A peer has answered a ping with its bytes.
+  /// A peer answered a ping. \p Bytes is the payload of the ping.
   std::function<void(const std::string &Bytes)> OnPong_;
 };
 
 class PeerLinks {
 public:
-  /// Throws `std::system_error` when the address can't be bound.
+  /// Throws `std::system_error` if the address can't be bound.
   PeerLinks(asio::io_context &Context, const Endpoint &Listen,
             std::size_t MaxMessageBytes, PeerLinkHooks Hooks);
   ~PeerLinks();
 
-  /// \p Target is "ADDRESS:PORT".
+  /// Opens a connection to \p Target, in the form "ADDRESS:PORT".
   void connect(const std::string &Target);
   void send(LinkId Link, const std::string &Bytes);
-  /// Asks every peer for these bytes back, at most 125.
+  /// Pings every peer with a payload of at most 125 bytes.
   void pingAll(const std::string &Bytes);
-  /// `OnClose_` follows, at the latest when the connection's close times out.
+  /// Starts to close a link; `OnClose_` follows after the closing handshake or
+  /// its timeout.
   void close(LinkId Link);
 
 private:
--- a/src/peer-traffic.h
+++ b/src/peer-traffic.h
@@ -1,6 +1,6 @@
 /// \file
-/// Messages and bytes between this balancer and its peers, by kind: what
-/// control costs, apart from callers' packets.
+/// Counts messages and bytes exchanged with peers by kind of message. Callers'
+/// packets are not included.
 #ifndef THYMEWALL_SRC_PEER_TRAFFIC_H
 #define THYMEWALL_SRC_PEER_TRAFFIC_H
 
--- a/src/process-pages.h
+++ b/src/process-pages.h
@@ -1,5 +1,5 @@
 /// \file
-/// The pages that every balancer serves at its metrics address.
+/// Pages that every balancer serves at its metrics address.
 #ifndef THYMEWALL_SRC_PROCESS_PAGES_H
 #define THYMEWALL_SRC_PROCESS_PAGES_H
 
@@ -7,17 +7,17 @@
 
 namespace thymewall::detail {
 
-/// What makes each page; only the one that is asked for is made.
+/// Generators of the pages; only that of the requested page is called.
 struct ProcessPages {
   std::function<std::string()> Metrics_;    ///< Prometheus text.
   std::function<std::string()> Status_;     ///< JSON.
   std::function<std::string()> Histograms_; ///< JSON.
 };
 
-/// "/metrics", "/status" and "/histograms"; 404 for every other path.
+/// Serves "/metrics", "/status" and "/histograms", and 404 for other paths.
 HttpPage processPage(const ProcessPages &Pages, const std::string &Path);
 
-/// A metric of Prometheus's text format.
+/// Formats a metric in Prometheus text format, with the prefix `thymewall_`.
 std::string metricLine(const std::string &Name, std::int64_t Value);
 
 } // namespace thymewall::detail
--- a/src/settings-watch.cc
+++ b/src/settings-watch.cc
@@ -14,7 +14,7 @@
 bool SettingsWatch::reread() {
   std::optional<std::string> Now = readFile(Path_);
   if (!Now || *Now == Text_)
-    return false; // a file that is missing for a moment is being replaced
+    return false; // a missing file is probably being replaced
   Text_ = std::move(*Now);
   return true;
 }
--- a/src/settings-watch.h
+++ b/src/settings-watch.h
@@ -1,6 +1,5 @@
 /// \file
-/// The settings file of a running process: read again when asked, or when it
-/// has changed without notice.
+/// Detects changes of a running process's settings file and parses its text.
 #ifndef THYMEWALL_SRC_SETTINGS_WATCH_H
 #define THYMEWALL_SRC_SETTINGS_WATCH_H
 
@@ -13,13 +12,13 @@
 
 class SettingsWatch {
 public:
-  /// \p Path holds what is in force.
+  /// \p Path contains the settings that are in force.
   explicit SettingsWatch(std::string Path);
 
-  /// True when the file's text differs from that of the last look.
+  /// Reads the file again. Returns whether its text has changed.
   bool reread();
-  /// Parses the text of the last look. Nothing when it is bad: the faults are
-  /// logged, and what is in force stays.
+  /// Parses the text that was read last. Logs the problems and returns nothing
+  /// if it is invalid.
   std::optional<PacketSettings> parse() const;
 
 private:
--- a/src/upstream-checker.cc
+++ b/src/upstream-checker.cc
@@ -11,13 +11,13 @@
 
 namespace {
 
-/// A connection takes about 2 ms between data halls.
+/// Timeout of a connection attempt, which takes about 2 ms between data halls.
 constexpr auto AttemptTimeout = std::chrono::milliseconds(80);
-/// A timer this late means that this process did not run; then silence is no
-/// proof.
+/// A later timer means that this process was suspended, so that the timeout of
+/// the attempt proves nothing.
 constexpr auto MaxTimerDelay = std::chrono::milliseconds(40);
 
-/// One check; lives while one of its operations is under way.
+/// A check, kept alive by its pending operations.
 class Check : public std::enable_shared_from_this<Check> {
 public:
   Check(asio::io_context &Context, const UpstreamCheck &Request,
@@ -73,7 +73,7 @@
   }
 
   void finish(CheckResult Result) {
-    ++Attempt_; // whatever still ends is ignored
+    ++Attempt_; // ignores handlers that are still pending
     Timer_.cancel();
     close();
     Hooks_->OnResult_(Request_.Upstream_, Result, toMono(StartedAt_));
--- a/src/upstream-checker.h
+++ b/src/upstream-checker.h
@@ -1,5 +1,5 @@
 /// \file
-/// Proves that an upstream lives, or not: TCP connections to its address.
+/// Liveness checks of upstreams by TCP connections to their addresses.
 #ifndef THYMEWALL_SRC_UPSTREAM_CHECKER_H
 #define THYMEWALL_SRC_UPSTREAM_CHECKER_H
 
@@ -13,10 +13,10 @@
   std::function<void(Incarnation Upstream, CheckResult Result,
                      MonoTime StartedAt)>
       OnResult_;
-  /// A try begins: peers are asked, too. Gives the time of the question.
+  /// Probes peers at the start of an attempt. Returns the time of the probe.
   std::function<MonoTime()> ProbePeers_;
-  /// Whether that question was answered in time, so that silence proves
-  /// something.
+  /// Returns whether a peer answered that probe in time, so that a timeout of
+  /// the upstream counts.
   std::function<bool(MonoTime ProbedAt)> ProbeAnswered_;
 };
 
@@ -24,8 +24,8 @@
 public:
   UpstreamChecker(asio::io_context &Context, CheckerHooks Hooks);
 
-  /// Tries to connect, and again as long as silence is no proof. Nothing is
-  /// sent.
+  /// Tries to connect, again after timeouts until `CheckAttempts` decides.
+  /// Sends no data. `OnResult_` gets the result.
   void check(const UpstreamCheck &Request);
 
 private:
--- a/test/packet-codec-test.cc
+++ b/test/packet-codec-test.cc
@@ -11,12 +11,12 @@
 
 using Bytes = std::vector<std::uint8_t>;
 
-/// The platform's own example of an opening packet.
+/// The platform's example of an opening packet.
 const Bytes OpeningBytes = {0xbb, 0x01, 0x07, 0x00, 0x40, 0x64, 0x01, 0x00,
                             0x12, 0xc6, 0x41, 0x9c, 0x00, 0x00, 0x44, 0x33,
                             0x22, 0x11, 0x00, 0x00, 0x00, 0x00, 0x00, 0x00,
                             0x00, 0x00, 0x08, 0x00, 0xd5, 0xc3, 0xb2, 0xa1};
-/// And of a reset back to its sender.
+/// The platform's example of a reset, for the same flow.
 const Bytes ResetBytes = {0x41, 0x9c, 0x01, 0x00, 0x12, 0xc6, 0x07, 0x00,
                           0x40, 0x64, 0xbb, 0x01, 0x00, 0x00, 0x00, 0x00,
                           0x00, 0x00, 0x00, 0x00, 0x00, 0x00, 0x00, 0x00,
@@ -24,7 +24,7 @@
 
 } // namespace
 
-TEST_CASE("the example of an opening packet") {
+TEST_CASE("decodes the platform's example of an opening packet") {
   Packet P;
   REQUIRE(decodePacket(OpeningBytes.data(), OpeningBytes.size(), P));
   CHECK(P.Caller_ == parseEndpoint("100.64.0.7:40001"));
@@ -35,7 +35,7 @@
   CHECK_FALSE(P.Resets_);
 }
 
-TEST_CASE("the example of a reset") {
+TEST_CASE("encodes the platform's example of a reset") {
   std::uint8_t Buffer[HeaderSize];
   ResetFlow R{parseEndpoint("100.64.0.7:40001"),
               parseEndpoint("198.18.0.1:443"), 0, ErrorKind::UnknownAddress};
@@ -43,10 +43,10 @@
   CHECK(std::memcmp(Buffer, ResetBytes.data(), HeaderSize) == 0);
 }
 
-TEST_CASE("a forwarded packet differs in its cookie alone") {
+TEST_CASE("forwarding changes only the cookie of a packet") {
   Bytes Data = OpeningBytes;
   Data.insert(Data.end(), {1, 2, 3});
-  Data[12] = 3; // the length of the data
+  Data[12] = 3; // length of the data
   std::uint8_t Buffer[HeaderSize + MaxPayload + PrefixSize];
   Forward F{{}, Incarnation{0x0102030405060708}, 0xa1b2c3d4};
   REQUIRE(encodeForward(F, Data.data(), Data.size(), Buffer) ==
@@ -60,7 +60,7 @@
   CHECK(Sent == Data);
 }
 
-TEST_CASE("only whole packets are decoded, whatever the bytes") {
+TEST_CASE("decodes only packets whose size matches their header") {
   rc::check([] {
     auto Data = *rc::gen::container<Bytes>(rc::gen::arbitrary<std::uint8_t>());
     bool Exact = Data.size() >= HeaderSize &&
--- a/test/packet-pages-test.cc
+++ b/test/packet-pages-test.cc
@@ -10,7 +10,7 @@
 
 namespace {
 
-/// The report of a balancer with one upstream that drains and one that serves.
+/// Report of a balancer with a draining and a serving upstream.
 struct ReportFixture {
   ReportFixture() {
     auto Table = std::make_shared<RoutingTable>();
@@ -44,7 +44,7 @@
 
 } // namespace
 
-TEST_CASE("metrics hold counters, the age of knowledge and delays") {
+TEST_CASE("metrics contain counters, the age of the state and delays") {
   ReportFixture Fixture;
   HttpPage Page = packetPage(Fixture.Report_, "/metrics");
   CHECK(Page.Status_ == 200);
@@ -65,7 +65,7 @@
   CHECK(packetPage(Fixture.Report_, "/other").Status_ == 404);
 }
 
-TEST_CASE("the operators' command tells why an upstream is not chosen") {
+TEST_CASE("status command shows why an upstream gets no new flows") {
   ReportFixture Fixture;
   std::ostringstream Out;
   REQUIRE(isPacketStatus(Fixture.status()));
@@ -73,11 +73,12 @@
   CHECK(Out.str().find("lb-1: routing version 7, known as of 500 ms ago") == 0);
   CHECK(Out.str().find("ab at") != std::string::npos);
   CHECK(Out.str().find("draining") != std::string::npos);
-  CHECK(Out.str().find("cd at") == std::string::npos); // serves: no line
+  CHECK(Out.str().find("cd at") ==
+        std::string::npos); // serves, so that it has no line
   CHECK(Out.str().find("peer lb-2 in hall-b, linked") != std::string::npos);
 }
 
-TEST_CASE("the operators' command tells where new flows of an address go") {
+TEST_CASE("route command shows the upstreams of an address") {
   ReportFixture Fixture;
   std::ostringstream Out;
   CHECK(printRoute(Fixture.status(), "198.18.0.1:8443", Out));
--- a/test/packet-settings-test.cc
+++ b/test/packet-settings-test.cc
@@ -43,7 +43,7 @@
 
 } // namespace
 
-TEST_CASE("good settings") {
+TEST_CASE("parses valid settings") {
   CHECK(problemsOf(validSettings()).empty());
   PacketSettings S = parseValid(validSettings());
   CHECK(S.PacketAddress_ == parseEndpoint("10.0.0.1:8172"));
@@ -51,7 +51,7 @@
   CHECK(S.Seeds_.size() == 1);
 }
 
-TEST_CASE("every bad key is told with its reason") {
+TEST_CASE("reports every invalid key with a reason") {
   Json Bad = validSettings();
   Bad["packets"] = "nowhere";
   Bad["metrics_port"] = 70000;
@@ -72,7 +72,7 @@
                                          "seeds[0]"});
 }
 
-TEST_CASE("what can't change while a process runs is named") {
+TEST_CASE("reports changed settings that need a restart") {
   Json Changed = validSettings();
   Changed["packets"] = "10.0.0.1:9999";
   Changed["seeds"] = Json::array();
@@ -84,7 +84,7 @@
             .empty());
 }
 
-TEST_CASE("what a cold upstream may get beyond its limit is optional") {
+TEST_CASE("the allowances above the limit of cold upstreams are optional") {
   CHECK(parseValid(validSettings()).ColdOver_ == 1);
   Json Changed = validSettings();
   Changed["cold_over"] = 1.5;
--- a/test/published-test.cc
+++ b/test/published-test.cc
@@ -50,7 +50,7 @@
 
 } // namespace
 
-TEST_CASE("a page of items") {
+TEST_CASE("decodes a page of items") {
   StoreResponse Response =
       decodeResponse({{"items",
                        {makeItem("op/config", routingDocument(), 12),
@@ -73,7 +73,7 @@
   CHECK(Response.Changes_[0].Revision_ == 14);
 }
 
-TEST_CASE("the operators' document") {
+TEST_CASE("decodes the routing table") {
   StoreResponse Response =
       decodeResponse({{"items", {makeItem("op/config", routingDocument(), 12)}},
                       {"has-more", false},
@@ -83,14 +83,14 @@
   CHECK(Response.Routing_->IdleTimeout_ == std::chrono::seconds(15));
   const auto *Split = Response.Routing_->find(parseEndpoint("198.18.0.1:8443"));
   REQUIRE(Split);
-  REQUIRE(Split->size() == 2); // no share without weight
+  REQUIRE(Split->size() == 2); // shares with weight 0 are left out
   CHECK((*Split)[0].Weight_ == 90);
   CHECK(Response.Routing_->serviceName((*Split)[1].Service_) == "archive");
   CHECK(Response.Routing_->find(parseEndpoint("198.18.0.2:8080")));
   CHECK_FALSE(Response.Routing_->find(parseEndpoint("198.18.0.2:8443")));
 }
 
-TEST_CASE("the birth of a start") {
+TEST_CASE("decodes the start time of an upstream") {
   Json Entry = upstreamValue();
   Entry["born"] = 1772424720123;
   StoreResponse Response = decodeResponse(
@@ -101,13 +101,13 @@
 
 namespace {
 
-/// A value that no upstream writes into \p Field.
-rc::Gen<Json> wrongValue(const std::string &Field) {
+/// Generates an invalid value for \p Field.
+rc::Gen<Json> invalidValue(const std::string &Field) {
   std::vector<Json> Values = {nullptr,       true,          -1, 2.5, 1e300,
                               Json::array(), Json::object()};
   bool Text = upstreamValue()[Field].is_string();
   Values.push_back(Text ? Json(7) : Json("7"));
-  // Beyond every bound that a number has; `call-seq` has none.
+  // Above the upper bound of every number except `call-seq`, which has none.
   if (!Text && Field != "call-seq")
     Values.push_back(18446744073709551615ULL);
   if (Field == "state")
@@ -119,7 +119,7 @@
 
 } // namespace
 
-TEST_CASE("an entry of another writer names no upstream, and others hold") {
+TEST_CASE("an entry with a missing or invalid field does not affect others") {
   rc::check([] {
     std::vector<std::string> Fields;
     Json Invalid = upstreamValue();
@@ -129,7 +129,7 @@
     if (*rc::gen::arbitrary<bool>())
       Invalid.erase(Field);
     else
-      Invalid[Field] = *wrongValue(Field);
+      Invalid[Field] = *invalidValue(Field);
     StoreResponse Response =
         decodeResponse({{"events",
                          {makeItem("servers/i-1", upstreamValue(), 1),
@@ -146,7 +146,7 @@
   });
 }
 
-TEST_CASE("what is no entry at all names no upstream either") {
+TEST_CASE("rejects malformed start times and values") {
   for (const char *Born :
        {"\"1772424720123\"", "1.5", "-4", "null", "[1]", "9999999999999999"}) {
     Json Invalid = upstreamValue();
@@ -172,7 +172,8 @@
   }
 }
 
-TEST_CASE("an item without a key, revision or value does not spoil its page") {
+TEST_CASE(
+    "an item without a valid key, revision or value does not affect others") {
   Json NoKey = makeItem("servers/i-1", upstreamValue(), 1);
   NoKey["key-file"] = 5;
   Json NoRevision = makeItem("servers/i-2", upstreamValue(), 2);
@@ -191,7 +192,7 @@
   CHECK(Response.Changes_[1].Incarnation_ == Incarnation{4});
 }
 
-TEST_CASE("events of a watch") {
+TEST_CASE("decodes the events of a watch") {
   Json Gone = {
       {"key-file", "servers/i-ab"}, {"revision", 413}, {"is-gone", true}};
   StoreResponse Response = decodeResponse(
@@ -204,7 +205,7 @@
   CHECK_FALSE(Response.Changes_[1].Entry_);
 }
 
-TEST_CASE("a bad item is left out by name and the others are taken") {
+TEST_CASE("reports invalid items and decodes the others") {
   Json NoAddress = upstreamValue();
   NoAddress["address"] = "nowhere";
   Json BadConfiguration = routingDocument();
@@ -221,7 +222,7 @@
   CHECK(Response.RefusedItems_.size() == 4);
   CHECK(Response.RefusedItems_[0].find("servers/i-1: ") == 0);
   CHECK_FALSE(Response.Routing_);
-  // Those whose key can be read name no upstream to use.
+  // Invalid entries with a valid key become changes without an entry.
   REQUIRE(Response.Changes_.size() == 3);
   CHECK(Response.Changes_[0] ==
         UpstreamChange{Incarnation{1}, 1, std::nullopt});
@@ -231,7 +232,7 @@
   CHECK(Response.Changes_[2].Entry_);
 }
 
-TEST_CASE("limits of cold upstreams, of which 0 is none") {
+TEST_CASE("decodes limits of cold upstreams, where 0 means none") {
   Json Document = routingDocument();
   Document["backends"][0]["warmup-per-s"] = 2.5;
   Document["backends"][1]["warmup-per-s"] = 0.0;
@@ -248,10 +249,10 @@
   CHECK_FALSE(Response.Routing_);
   REQUIRE(Response.RefusedItems_.size() == 1);
   CHECK(Response.RefusedItems_[0] ==
-        "op/config: service 'index' has a cold limit below 0");
+        "op/config: service 'index' has a negative limit for cold upstreams");
 }
 
-TEST_CASE("evacuated data halls") {
+TEST_CASE("decodes evacuated data halls") {
   Json Gone = {{"key-file", "op/evacuate/ams-hall-b"},
                {"revision", 23},
                {"is-gone", true}};
@@ -267,11 +268,11 @@
         std::vector<EvacuationChange>{{"ams-hall-a", 22, true},
                                       {"ams-hall-b", 23, false}});
   REQUIRE(Response.RefusedItems_.size() == 2);
-  CHECK(Response.RefusedItems_[0] == "op/evacuate/: it names no data hall");
+  CHECK(Response.RefusedItems_[0] == "op/evacuate/: key names no data hall");
   CHECK(Response.RefusedItems_[1].find("op/evacuate/ams-hall-c: ") == 0);
 }
 
-TEST_CASE("damaged answers never do more than fail") {
+TEST_CASE("decodes a damaged response or reports the reason") {
   Json Root = {{"items",
                 {makeItem("op/config", routingDocument(), 12),
                  makeItem("servers/i-7f3a91c2", upstreamValue(), 14)}},
