--- a/src/packet-log.cc
+++ b/src/packet-log.cc
@@ -65,14 +65,14 @@
   return "";
 }
 
-std::int64_t millis(Micros Span) { return Span.count() / 1000; }
+std::int64_t millis(Micros Duration) { return Duration.count() / 1000; }
 
 } // namespace
 
-std::string formatIncarnation(Incarnation Which) {
+std::string formatIncarnation(Incarnation Id) {
   char Text[17];
   std::snprintf(Text, sizeof Text, "%llx",
-                static_cast<unsigned long long>(raw(Which)));
+                static_cast<unsigned long long>(raw(Id)));
   return Text;
 }
 
@@ -95,20 +95,20 @@
   logDecision(eventName(D.Kind_), Fields);
 }
 
-void logUpstreamEvent(const UpstreamEvent &B) {
-  LogFields Fields = {{"upstream", formatIncarnation(B.Upstream_)},
-                      {"address", formatEndpoint(B.At_)},
-                      {"revision", B.Revision_}};
-  bool Judged = B.Kind_ == UpstreamEvent::Kind::Stalled ||
-                B.Kind_ == UpstreamEvent::Kind::Failing;
-  if (Judged) {
-    Fields.emplace_back(B.Kind_ == UpstreamEvent::Kind::Stalled
+void logUpstreamEvent(const UpstreamEvent &Event) {
+  LogFields Fields = {{"upstream", formatIncarnation(Event.Upstream_)},
+                      {"address", formatEndpoint(Event.At_)},
+                      {"revision", Event.Revision_}};
+  bool HasEvidence = Event.Kind_ == UpstreamEvent::Kind::Stalled ||
+                     Event.Kind_ == UpstreamEvent::Kind::Failing;
+  if (HasEvidence) {
+    Fields.emplace_back(Event.Kind_ == UpstreamEvent::Kind::Stalled
                             ? "unanswered"
                             : "short_answers",
-                        B.Evidence_);
-    Fields.emplace_back("needed", B.Needed_);
+                        Event.Evidence_);
+    Fields.emplace_back("needed", Event.Needed_);
   }
-  logDecision(eventName(B.Kind_), Fields);
+  logDecision(eventName(Event.Kind_), Fields);
 }
 
 void logReset(const ResetFlow &R) {
--- a/src/packet-log.h
+++ b/src/packet-log.h
@@ -10,10 +10,10 @@
 namespace thymewall::detail {
 
 /// Formats an incarnation as a hexadecimal number, as logs and pages show it.
-std::string formatIncarnation(Incarnation Which);
+std::string formatIncarnation(Incarnation Id);
 
 void logPacketDecision(const Decision &D);
-void logUpstreamEvent(const UpstreamEvent &B);
+void logUpstreamEvent(const UpstreamEvent &Event);
 void logReset(const ResetFlow &R);
 void logEvacuation(const EvacuationChange &Change);
 /// Logs the numbers of listed and ended upstreams instead of a line for each.
--- a/src/packet-pages.cc
+++ b/src/packet-pages.cc
@@ -14,12 +14,12 @@
 void addTraffic(
     const char *Direction,
     const std::array<PeerTraffic::TrafficCount, PeerTraffic::KindCount> &Counts,
-    std::vector<NamedValue> &To) {
+    std::vector<NamedValue> &Result) {
   for (std::size_t Kind = 0; Kind < PeerTraffic::KindCount; ++Kind) {
     std::string Suffix =
         std::string(PeerTraffic::KindNames[Kind]) + "_" + Direction;
-    To.emplace_back("peer_messages_" + Suffix, Counts[Kind].Messages_);
-    To.emplace_back("peer_bytes_" + Suffix, Counts[Kind].Bytes_);
+    Result.emplace_back("peer_messages_" + Suffix, Counts[Kind].Messages_);
+    Result.emplace_back("peer_bytes_" + Suffix, Counts[Kind].Bytes_);
   }
 }
 
--- a/src/packet-process-control.cc
+++ b/src/packet-process-control.cc
@@ -44,17 +44,17 @@
 
 // The balancer works without its metrics, so a port in use is only logged.
 void PacketProcess::Impl::serveMetrics() {
-  Endpoint Where = Settings_.ReadinessAddress_;
-  Where.Port_ = Settings_.MetricsPort_;
+  Endpoint Address = Settings_.ReadinessAddress_;
+  Address.Port_ = Settings_.MetricsPort_;
   try {
-    Metrics_.emplace(
-        Context_, Where,
+    MetricsServer_.emplace(
+        Context_, Address,
         [this](const std::string &Target, const HttpServer::Reply &Response) {
           Response(packetPage(report(), pathOf(Target)));
         });
   } catch (const std::system_error &Error) {
     logState("metrics_not_served",
-             {{"address", formatEndpoint(Where)}, {"reason", Error.what()}});
+             {{"address", formatEndpoint(Address)}, {"reason", Error.what()}});
   }
 }
 
@@ -97,7 +97,7 @@
 }
 
 void PacketProcess::Impl::onReloadSignal() {
-  if (Watch_.reread())
+  if (SettingsWatch_.reread())
     applySettings("signal");
   else
     logState("settings_unchanged", {{"cause", "signal"}});
@@ -115,7 +115,7 @@
 }
 
 void PacketProcess::Impl::applySettings(const char *Cause) {
-  std::optional<PacketSettings> Changed = Watch_.parse();
+  std::optional<PacketSettings> Changed = SettingsWatch_.parse();
   if (!Changed)
     return;
   for (const std::string &Key : keysNeedingRestart(Settings_, *Changed))
@@ -136,7 +136,7 @@
   if (Now < NextSettingsPollAt_)
     return;
   NextSettingsPollAt_ = Now + SettingsPollInterval;
-  if (Watch_.reread())
+  if (SettingsWatch_.reread())
     applySettings("file");
 }
 
--- a/src/packet-process-impl.h
+++ b/src/packet-process-impl.h
@@ -94,9 +94,9 @@
 
   asio::io_context &Context_;
   PacketSettings Settings_;
-  SettingsWatch Watch_;
+  SettingsWatch SettingsWatch_;
   PlatformHooks Hooks_;
-  UdpSocket Packets_; ///< Bound first, so that early packets queue in it.
+  UdpSocket PacketSocket_; ///< Bound first, so that early packets queue in it.
   DelayMetrics Delays_;
   RoutingTablePtr Routing_;
   PacketBalancer Core_;
@@ -109,8 +109,8 @@
   PeerLinks Links_;
   GossipNode Gossip_;
   PeerTraffic Traffic_;
-  HttpServer Readiness_;
-  std::optional<HttpServer> Metrics_;
+  HttpServer ReadinessServer_;
+  std::optional<HttpServer> MetricsServer_;
   ConfigServiceLog ServiceLog_;
   asio::steady_timer Timer_;
   asio::signal_set Signals_;
--- a/src/packet-process.cc
+++ b/src/packet-process.cc
@@ -18,8 +18,8 @@
 /// Returns whether the error may disappear when upstreams are published. After
 /// an outage of the configuration service all of them are missing for up to
 /// 2 s.
-bool isTransientError(ErrorKind Why) {
-  return Why == ErrorKind::NoneLeft || Why == ErrorKind::UnknownCookie;
+bool isTransientError(ErrorKind Error) {
+  return Error == ErrorKind::NoneLeft || Error == ErrorKind::UnknownCookie;
 }
 
 GossipOptions gossipOptions(const PacketSettings &S) {
@@ -56,11 +56,11 @@
 PacketProcess::Impl::Impl(asio::io_context &Context,
                           const PacketSettings &Configured,
                           std::string SettingsPath, PlatformHooks Hooks)
-    : Context_(Context), Settings_(Configured), Watch_(std::move(SettingsPath)),
-      Hooks_(std::move(Hooks)),
-      Packets_(Context, Settings_.PacketAddress_,
-               [this](const Endpoint &, const std::uint8_t *Data,
-                      std::size_t Size) { onPacket(Data, Size); }),
+    : Context_(Context), Settings_(Configured),
+      SettingsWatch_(std::move(SettingsPath)), Hooks_(std::move(Hooks)),
+      PacketSocket_(Context, Settings_.PacketAddress_,
+                    [this](const Endpoint &, const std::uint8_t *Data,
+                           std::size_t Size) { onPacket(Data, Size); }),
       Core_(makeCore(
           Settings_,
           [this](ServiceId S, DelayClass C, Micros Delay) {
@@ -79,7 +79,7 @@
       Links_(Context, Settings_.ControlAddress_, MaxGossipMessageBytes,
              linkHooks()),
       Gossip_(gossipOptions(Settings_), gossipHooks()),
-      Readiness_(
+      ReadinessServer_(
           Context, Settings_.ReadinessAddress_,
           [this](const std::string &Target, const HttpServer::Reply &Response) {
             Response(readinessPage(pathOf(Target)));
@@ -137,7 +137,7 @@
                                   std::size_t Size) {
   std::uint8_t Buffer[MaxPacketBytes];
   std::size_t Length = Hooks_.EncodeForward_(F, Data, Size, Buffer);
-  Packets_.send(F.To_, Buffer, Length);
+  PacketSocket_.send(F.To_, Buffer, Length);
 }
 
 void PacketProcess::Impl::execute(const ResetFlow &R, const std::uint8_t *,
@@ -152,7 +152,7 @@
   std::size_t Length = Hooks_.EncodeReset_(R, Buffer);
   Endpoint To = R.Caller_;
   To.Port_ = Settings_.PacketAddress_.Port_;
-  Packets_.send(To, Buffer, Length);
+  PacketSocket_.send(To, Buffer, Length);
 }
 
 void PacketProcess::Impl::execute(const Dropped &, const std::uint8_t *,
