--- a/src/packet-log.cc
+++ b/src/packet-log.cc
@@ -7,7 +7,7 @@
 
 namespace {
 
-const char *eventOf(Decision::Kind Kind) {
+const char *eventName(Decision::Kind Kind) {
   switch (Kind) {
   case Decision::Kind::Opened:
     return "flow_opened";
@@ -23,7 +23,7 @@
   return "";
 }
 
-const char *eventOf(UpstreamEvent::Kind Kind) {
+const char *eventName(UpstreamEvent::Kind Kind) {
   switch (Kind) {
   case UpstreamEvent::Kind::Listed:
     return "upstream_listed";
@@ -65,18 +65,18 @@
   return "";
 }
 
-std::int64_t millis(Micros Span) { return Span.count() / 1000; }
+std::int64_t millis(Micros Duration) { return Duration.count() / 1000; }
 
 } // namespace
 
-std::string formatIncarnation(Incarnation Which) {
+std::string formatIncarnation(Incarnation Id) {
   char Text[17];
   std::snprintf(Text, sizeof Text, "%llx",
-                static_cast<unsigned long long>(raw(Which)));
+                static_cast<unsigned long long>(raw(Id)));
   return Text;
 }
 
-void logDecisionOn(const Decision &D) {
+void logPacketDecision(const Decision &D) {
   LogFields Fields = {{"caller", formatEndpoint(D.Caller_)},
                       {"address", formatEndpoint(D.Service_)}};
   if (D.Kind_ == Decision::Kind::Refused) {
@@ -92,23 +92,23 @@
   Fields.emplace_back("routing_version", D.RoutingVersion_);
   if (D.HasConfirmation_)
     Fields.emplace_back("knowledge_age_ms", millis(D.KnowledgeAge_));
-  logDecision(eventOf(D.Kind_), Fields);
+  logDecision(eventName(D.Kind_), Fields);
 }
 
-void logBelief(const UpstreamEvent &B) {
-  LogFields Fields = {{"upstream", formatIncarnation(B.Upstream_)},
-                      {"address", formatEndpoint(B.Address_)},
-                      {"revision", B.Revision_}};
-  bool Judged = B.Kind_ == UpstreamEvent::Kind::Stalled ||
-                B.Kind_ == UpstreamEvent::Kind::Failing;
-  if (Judged) {
-    Fields.emplace_back(B.Kind_ == UpstreamEvent::Kind::Stalled
+void logUpstreamEvent(const UpstreamEvent &Event) {
+  LogFields Fields = {{"upstream", formatIncarnation(Event.Upstream_)},
+                      {"address", formatEndpoint(Event.Address_)},
+                      {"revision", Event.Revision_}};
+  bool HasEvidence = Event.Kind_ == UpstreamEvent::Kind::Stalled ||
+                Event.Kind_ == UpstreamEvent::Kind::Failing;
+  if (HasEvidence) {
+    Fields.emplace_back(Event.Kind_ == UpstreamEvent::Kind::Stalled
                             ? "unanswered"
                             : "short_answers",
-                        B.Evidence_);
-    Fields.emplace_back("needed", B.Needed_);
+                        Event.Evidence_);
+    Fields.emplace_back("needed", Event.Needed_);
   }
-  logDecision(eventOf(B.Kind_), Fields);
+  logDecision(eventName(Event.Kind_), Fields);
 }
 
 void logReset(const ResetFlow &R) {
@@ -123,7 +123,7 @@
       {{"data_hall", Change.DataHall_}, {"revision", Change.Revision_}});
 }
 
-void logUpstreams(const std::vector<UpstreamChange> &Changes,
+void logUpstreamSummary(const std::vector<UpstreamChange> &Changes,
                   Revision Through) {
   auto Listed = std::count_if(
       Changes.begin(), Changes.end(),
@@ -138,11 +138,11 @@
                                    {"addresses", Table.Addresses_.size()}});
 }
 
-void ServiceLog::answered(MonoTime Now, const ConfigResponse &Answer) {
-  bool Served = Answer.Outcome_ == ConfigResponse::Outcome::Done ||
-                Answer.Outcome_ == ConfigResponse::Outcome::Stale ||
-                Answer.Outcome_ == ConfigResponse::Outcome::HistoryGone;
-  if (Answer.Outcome_ == ConfigResponse::Outcome::HistoryGone)
+void ConfigServiceLog::answered(MonoTime Now, const ConfigResponse &Response) {
+  bool Served = Response.Outcome_ == ConfigResponse::Outcome::Done ||
+                Response.Outcome_ == ConfigResponse::Outcome::Stale ||
+                Response.Outcome_ == ConfigResponse::Outcome::HistoryGone;
+  if (Response.Outcome_ == ConfigResponse::Outcome::HistoryGone)
     logDecision("history_gone", {});
   if (Served == !failing())
     return;
@@ -153,11 +153,11 @@
     return;
   }
   Write_("configuration_service_call_failed",
-         {{"outcome", nameOf(Answer.Outcome_)}, {"reason", Answer.Reason_}});
+         {{"outcome", nameOf(Response.Outcome_)}, {"reason", Response.Reason_}});
   FailedAt_ = Now;
 }
 
-void ServiceLog::confirmed(MonoTime AsOf) {
+void ConfigServiceLog::confirmed(MonoTime AsOf) {
   if (!failing() || AsOf <= FailedAt_)
     return;
   Write_("configuration_service_read_by_peer",
--- a/src/packet-pages.h
+++ b/src/packet-pages.h
@@ -11,7 +11,7 @@
 
 namespace thymewall::detail {
 
-/// Everything that the pages show.
+/// Data for the pages.
 struct PacketReport {
   std::string Name_;
   bool Ready_ = false;
@@ -19,7 +19,7 @@
   MonoTime Now_{};
   PacketStatus Status_;
   PacketCounters Counters_;
-  GossipCounters News_;
+  GossipCounters Gossip_;
   PeerTraffic Traffic_;
   std::vector<MemberStatus> Peers_;
   RoutingTablePtr Routing_;
@@ -28,11 +28,13 @@
   std::uint64_t ServiceFailures_ = 0;
   std::uint64_t RefusedItems_ = 0;
   std::uint64_t LogLinesDropped_ = 0;
-  bool Reads_ = false; ///< Reads the configuration service for the fleet.
+  /// Whether this balancer reads the configuration service for the fleet.
+  bool ReadsForFleet_ = false;
   const DelayMetrics *Delays_ = nullptr;
 };
 
-/// "/metrics" in Prometheus text format, "/status" and "/histograms" as JSON.
+/// Returns the page at \p Path: "/metrics" in Prometheus text format, "/status"
+/// and "/histograms" as JSON.
 HttpPage packetPage(const PacketReport &R, const std::string &Path);
 
 } // namespace thymewall::detail
