--- a/include/thymewall/log.h
+++ b/include/thymewall/log.h
@@ -45,7 +45,7 @@
                           std::string_view Event, const LogFields &Fields);
 
 /// Allows so many lines a second, with a short burst, and counts the others.
-class LogBudget {
+class LogRateLimiter {
 public:
   /// Bounds the output of a process to about 25 KB a second: a decision's line
   /// has about 250 bytes, and an entry host of today opens 50 flows a second.
@@ -53,9 +53,9 @@
   static constexpr std::uint32_t Burst = 300;
 
   /// True when a line may be written at \p Now.
-  bool take(MonoTime Now);
+  bool allow(MonoTime Now);
   /// Lines refused since the last call.
-  std::uint64_t takeDropped();
+  std::uint64_t takeDroppedCount();
 
 private:
   MonoTime Last_{};
@@ -67,18 +67,18 @@
 void startLog(const std::string &Process);
 
 /// A change of the process's own state; written at once.
-void logState(std::string_view Event, const LogFields &Fields);
+void logStateChange(std::string_view Event, const LogFields &Fields);
 
 /// A decision on a request or a changed belief, within the budget; written with
 /// the next `flushLog`.
-void logDecision(std::string_view Event, const LogFields &Fields);
+void logRateLimited(std::string_view Event, const LogFields &Fields);
 
 /// Writes what is held back, and how many lines were dropped since the last
 /// time. Call it a few times a second and at the end.
 void flushLog();
 
 /// Lines dropped since the start of the process.
-std::uint64_t droppedLogLines();
+std::uint64_t droppedLogLineCount();
 
 } // namespace thymewall
 
--- a/soak/soak-main.cc
+++ b/soak/soak-main.cc
@@ -286,6 +286,6 @@
     bool Good = Run.run(std::chrono::seconds(Arguments["seconds"].as<int>()),
                         Arguments.count("planned") != 0);
     std::cout << "seed " << Seed << ": " << (Good ? "kept" : "BROKEN") << "\n";
-    return Good ? ExitDone : ExitFoundWrong;
+    return Good ? ExitSuccess : ExitFailure;
   });
 }
--- a/soak/soak-world.cc
+++ b/soak/soak-world.cc
@@ -349,7 +349,7 @@
 
 void World::probe(std::size_t Balancer) {
   Probes_[Balancer]->get("/thymewall/readiness", now() + 400ms,
-                         [this, Balancer](std::optional<detail::HttpAnswer> A,
+                         [this, Balancer](std::optional<detail::HttpResponse> A,
                                           const std::string &) {
                            bool Good = A && A->Status_ == 200;
                            Misses_[Balancer] = Good ? 0 : Misses_[Balancer] + 1;
--- a/src/balancer-main.cc
+++ b/src/balancer-main.cc
@@ -21,6 +21,6 @@
     asio::io_context Context(1);
     BalancerProcess Process(Context, Configured);
     Context.run();
-    return ExitDone;
+    return ExitSuccess;
   });
 }
--- a/src/balancer-process.cc
+++ b/src/balancer-process.cc
@@ -70,7 +70,7 @@
 private:
   using Received = void (Impl::*)(const Endpoint &, const std::uint8_t *,
                                   std::size_t);
-  UdpSocket::Receiver receiver(Received Function);
+  UdpSocket::ReceiveHandler receiver(Received Function);
   void fromUpstream(const Endpoint &From, const std::uint8_t *Data,
                     std::size_t Size);
   void fromPeer(const Endpoint &From, const std::uint8_t *Data,
@@ -154,17 +154,17 @@
   Signals_.async_wait([this](const asio::error_code &Error, int) {
     if (Error)
       return;
-    logState("stopping", {});
+    logStateChange("stopping", {});
     Control_.setLeaving();
     give(StopAsked{});
   });
-  logState("started", {{"data", formatEndpoint(Settings_.Data_)},
-                       {"incarnation", std::to_string(raw(Self_))}});
+  logStateChange("started", {{"data", formatEndpoint(Settings_.Data_)},
+                             {"incarnation", std::to_string(raw(Self_))}});
   tick();
   reviewWatching();
 }
 
-UdpSocket::Receiver BalancerProcess::Impl::receiver(Received Function) {
+UdpSocket::ReceiveHandler BalancerProcess::Impl::receiver(Received Function) {
   return [this, Function](const Endpoint &From, const std::uint8_t *Data,
                           std::size_t Size) {
     (this->*Function)(From, Data, Size);
@@ -236,20 +236,20 @@
           [this, Id](const Endpoint &From, const std::uint8_t *Data,
                      std::size_t Size) { fromCaller(Id, From, Data, Size); });
     } catch (const std::system_error &Error) {
-      logState("service_socket_failed",
-               {{"service", S.Name_}, {"reason", Error.what()}});
+      logStateChange("service_socket_failed",
+                     {{"service", S.Name_}, {"reason", Error.what()}});
     }
   }
   Platform_.setKnown(DocumentKind::Declaration, Declaration_->Version_);
   Control_.setDocument(DocumentKind::Declaration,
                        {Declaration_->Version_, Declaration_->Digest_},
                        Declaration_->Text_);
-  logState("declaration_in_force",
-           {{"version", std::to_string(Declaration_->Version_)}});
+  logStateChange("declaration_in_force",
+                 {{"version", std::to_string(Declaration_->Version_)}});
 }
 
 void BalancerProcess::Impl::act(const RereadSources &A) {
-  logState("late_wake", {});
+  logStateChange("late_wake", {});
   Asked_ = A.Asked_;
   Platform_.readNow(A.Asked_);
   Control_.askFreshness(A.Asked_);
@@ -260,7 +260,7 @@
 }
 
 void BalancerProcess::Impl::act(const Stopped &) {
-  logState("stopped", {});
+  logStateChange("stopped", {});
   Context_.stop();
 }
 
@@ -287,8 +287,9 @@
                                           const std::string &Source,
                                           std::uint64_t Asked) {
   auto Refused = [](const Problems &Found) {
-    logState("declaration_refused", {{"count", std::to_string(Found.size())},
-                                     {"first", format(Found.front())}});
+    logStateChange("declaration_refused",
+                   {{"count", std::to_string(Found.size())},
+                    {"first", format(Found.front())}});
   };
   boost::leaf::try_handle_all(
       [&]() -> boost::leaf::result<void> {
@@ -296,7 +297,7 @@
         give(DeclarationRead{Read, Asked});
         return {};
       },
-      Refused, [] { logState("declaration_refused", {}); });
+      Refused, [] { logStateChange("declaration_refused", {}); });
 }
 
 void BalancerProcess::Impl::onHosts(const std::string &Text,
@@ -317,9 +318,9 @@
         return {};
       },
       [](const Problems &Found) {
-        logState("host_list_refused", {{"first", format(Found.front())}});
+        logStateChange("host_list_refused", {{"first", format(Found.front())}});
       },
-      [] { logState("host_list_refused", {}); });
+      [] { logStateChange("host_list_refused", {}); });
 }
 
 ControlHooks BalancerProcess::Impl::controlHooks() {
--- a/src/ctl-main.cc
+++ b/src/ctl-main.cc
@@ -74,7 +74,7 @@
   }
   printProblems(All);
   std::cout << Files.size() << " checked, " << All.size() << " problems\n";
-  return All.empty() ? ExitDone : ExitFoundWrong;
+  return All.empty() ? ExitSuccess : ExitFailure;
 }
 
 int explainService(const std::vector<std::string> &Words, WallTime When) {
@@ -85,14 +85,14 @@
   if (!S) {
     std::cerr << Words[1] << ": services: \"" << Words[0]
               << "\" is not declared\n";
-    return ExitFoundWrong;
+    return ExitFailure;
   }
   for (const Upstream &U : D->Upstreams_) {
     std::string Reason = explain(*D, *S, U, zoneClock(), When);
     std::cout << U.Name_ << ": " << (Reason.empty() ? "yes" : "no, " + Reason)
               << "\n";
   }
-  return ExitDone;
+  return ExitSuccess;
 }
 
 std::set<std::string> servingNames(const Declaration &D, const Service &S,
@@ -130,7 +130,7 @@
       if (Before.count(U) == 0)
         std::cout << Name << ": + " << U << "\n";
   }
-  return New->Version_ > Old->Version_ ? ExitDone : ExitFoundWrong;
+  return New->Version_ > Old->Version_ ? ExitSuccess : ExitFailure;
 }
 
 std::optional<Json> fetchStatus(const std::string &Address) {
@@ -179,7 +179,7 @@
     for (const Json &U : Page->at("upstreams"))
       printUpstream(U);
   }
-  return AllAnswered ? ExitDone : ExitFoundWrong;
+  return AllAnswered ? ExitSuccess : ExitFailure;
 }
 
 /// Where new flows of a callers' address go at each packet balancer.
@@ -193,7 +193,7 @@
         Page && isPacketStatus(*Page) && printRoute(*Page, Where, std::cout);
     AllKnow = AllKnow && Known;
   }
-  return AllKnow ? ExitDone : ExitFoundWrong;
+  return AllKnow ? ExitSuccess : ExitFailure;
 }
 
 /// Waits until every balancer has a version in force; prints the seconds.
@@ -215,7 +215,7 @@
   std::cout << Took.count() << "\n";
   for (const std::string &Address : Left)
     std::cerr << Address << ": version " << Wanted << " is not in force\n";
-  return Left.empty() ? ExitDone : ExitFoundWrong;
+  return Left.empty() ? ExitSuccess : ExitFailure;
 }
 
 /// The status addresses of the balancers: those given, or all of --config.
--- a/src/http-client.cc
+++ b/src/http-client.cc
@@ -135,8 +135,8 @@
   }
 
   void finish() {
-    HttpAnswer Answer{Parser_->get().result_int(),
-                      std::move(Parser_->get().body())};
+    HttpResponse Answer{Parser_->get().result_int(),
+                        std::move(Parser_->get().body())};
     bool Kept = Parser_->keep_alive();
     Handler Done = std::move(OnAnswer_);
     endCall(!Kept);
--- a/src/http-client.h
+++ b/src/http-client.h
@@ -13,7 +13,7 @@
 
 namespace thymewall::detail {
 
-struct HttpAnswer {
+struct HttpResponse {
   unsigned Status_ = 0;
   std::string Body_;
 };
@@ -22,8 +22,8 @@
 public:
   /// Nothing when the connection failed or the deadline passed; \p Reason says
   /// which.
-  using Handler =
-      std::function<void(std::optional<HttpAnswer>, const std::string &Reason)>;
+  using Handler = std::function<void(std::optional<HttpResponse>,
+                                     const std::string &Reason)>;
 
   HttpClient(asio::io_context &Context, const Endpoint &Server);
   ~HttpClient();
--- a/src/http-server.cc
+++ b/src/http-server.cc
@@ -16,7 +16,7 @@
 
 namespace http = boost::beast::http;
 using Parser = http::request_parser<http::empty_body>;
-using PagesPtr = std::shared_ptr<const HttpServer::Source>;
+using PagesPtr = std::shared_ptr<const HttpServer::RequestHandler>;
 
 constexpr std::size_t ReadSize = 2048;
 /// A connection that sends nothing for this long is closed; the fabric asks
@@ -124,9 +124,9 @@
 
 class HttpServer::Impl : public std::enable_shared_from_this<Impl> {
 public:
-  Impl(asio::io_context &Context, const Endpoint &Where, Source Pages)
+  Impl(asio::io_context &Context, const Endpoint &Where, RequestHandler Pages)
       : Acceptor_(Context, {toAsio(Where).address(), Where.Port_}),
-        Pages_(std::make_shared<const Source>(std::move(Pages))) {}
+        Pages_(std::make_shared<const RequestHandler>(std::move(Pages))) {}
 
   void accept() {
     Acceptor_.async_accept(
@@ -154,7 +154,7 @@
 };
 
 HttpServer::HttpServer(asio::io_context &Context, const Endpoint &Where,
-                       Source Pages)
+                       RequestHandler Pages)
     : Impl_(std::make_shared<Impl>(Context, Where, std::move(Pages))) {
   Impl_->accept();
 }
--- a/src/http-server.h
+++ b/src/http-server.h
@@ -29,11 +29,12 @@
   using Reply = std::function<void(const HttpPage &Page)>;
   /// Makes the page of a target (path and query); status 404 for one that there
   /// is not.
-  using Source =
+  using RequestHandler =
       std::function<void(const std::string &Target, const Reply &Answer)>;
 
   /// Throws `std::system_error` when the address can't be bound.
-  HttpServer(asio::io_context &Context, const Endpoint &Where, Source Pages);
+  HttpServer(asio::io_context &Context, const Endpoint &Where,
+             RequestHandler Pages);
   ~HttpServer();
 
 private:
--- a/src/load-main.cc
+++ b/src/load-main.cc
@@ -26,7 +26,7 @@
     Upstreams.push_back(need(File));
   Verdict V = audit(need(Record), Upstreams, ConfigSeconds);
   std::cout << V.Line_ << "\n";
-  return V.Kept_ ? ExitDone : ExitFoundWrong;
+  return V.Kept_ ? ExitSuccess : ExitFailure;
 }
 
 int run(int Count, char **Values) {
@@ -56,7 +56,7 @@
   LoadRun Run(Context, S);
   Context.run();
   std::ofstream(Record) << Run.record();
-  return ExitDone;
+  return ExitSuccess;
 }
 
 } // namespace
--- a/src/log.cc
+++ b/src/log.cc
@@ -77,7 +77,7 @@
 struct ProcessLog {
   std::string Process_;
   Writer Writer_;
-  LogBudget Budget_;
+  LogRateLimiter Budget_;
   boost::log::sources::logger Logger_;
   std::uint64_t DroppedTotal_ = 0;
   std::uint64_t WriterDroppedTold_ = 0;
@@ -112,7 +112,7 @@
                    nlohmann::ordered_json::error_handler_t::replace);
 }
 
-bool LogBudget::take(MonoTime Now) {
+bool LogRateLimiter::allow(MonoTime Now) {
   double Seconds = std::chrono::duration<double>(Now - Last_).count();
   Last_ = Now;
   Left_ = std::min<double>(Left_ + Seconds * LinesPerSecond, Burst);
@@ -124,7 +124,7 @@
   return true;
 }
 
-std::uint64_t LogBudget::takeDropped() {
+std::uint64_t LogRateLimiter::takeDroppedCount() {
   return std::exchange(Dropped_, std::uint64_t{0});
 }
 
@@ -139,20 +139,20 @@
   boost::log::core::get()->add_sink(Sink);
 }
 
-void logState(std::string_view Event, const LogFields &Fields) {
+void logStateChange(std::string_view Event, const LogFields &Fields) {
   line(Event, Fields);
   processLog().Writer_.write();
 }
 
-void logDecision(std::string_view Event, const LogFields &Fields) {
-  if (processLog().Budget_.take(detail::monoNow()))
+void logRateLimited(std::string_view Event, const LogFields &Fields) {
+  if (processLog().Budget_.allow(detail::monoNow()))
     line(Event, Fields);
 }
 
 void flushLog() {
   ProcessLog &Log = processLog();
   std::uint64_t Writer = Log.Writer_.dropped() - Log.WriterDroppedTold_;
-  std::uint64_t Dropped = Log.Budget_.takeDropped() + Writer;
+  std::uint64_t Dropped = Log.Budget_.takeDroppedCount() + Writer;
   Log.WriterDroppedTold_ += Writer;
   Log.DroppedTotal_ += Dropped;
   if (Dropped > 0)
@@ -160,6 +160,6 @@
   Log.Writer_.write();
 }
 
-std::uint64_t droppedLogLines() { return processLog().DroppedTotal_; }
+std::uint64_t droppedLogLineCount() { return processLog().DroppedTotal_; }
 
 } // namespace thymewall
--- a/src/packet-log.cc
+++ b/src/packet-log.cc
@@ -92,7 +92,7 @@
   Fields.emplace_back("routing_version", D.RoutingVersion_);
   if (D.Known_)
     Fields.emplace_back("knowledge_age_ms", millis(D.KnowledgeAge_));
-  logDecision(eventOf(D.Kind_), Fields);
+  logRateLimited(eventOf(D.Kind_), Fields);
 }
 
 void logBelief(const Belief &B) {
@@ -107,19 +107,19 @@
                         B.Evidence_);
     Fields.emplace_back("needed", B.Needed_);
   }
-  logDecision(eventOf(B.Kind_), Fields);
+  logRateLimited(eventOf(B.Kind_), Fields);
 }
 
 void logReset(const ResetFlow &R) {
-  logDecision("flow_reset", {{"caller", formatEndpoint(R.Caller_)},
-                             {"address", formatEndpoint(R.Service_)},
-                             {"reason", errorRow(R.Why_).Name_}});
+  logRateLimited("flow_reset", {{"caller", formatEndpoint(R.Caller_)},
+                                {"address", formatEndpoint(R.Service_)},
+                                {"reason", errorRow(R.Why_).Name_}});
 }
 
 void logEvacuation(const EvacuationChange &Change) {
-  logDecision(Change.Evacuated_ ? "data_hall_evacuated"
-                                : "data_hall_taken_back",
-              {{"data_hall", Change.DataHall_}, {"revision", Change.At_}});
+  logRateLimited(Change.Evacuated_ ? "data_hall_evacuated"
+                                   : "data_hall_taken_back",
+                 {{"data_hall", Change.DataHall_}, {"revision", Change.At_}});
 }
 
 void logUpstreams(const std::vector<UpstreamChange> &Changes,
@@ -127,14 +127,14 @@
   auto Listed = std::count_if(
       Changes.begin(), Changes.end(),
       [](const UpstreamChange &C) { return C.Entry_ && !C.Ended_; });
-  logDecision("upstreams_told", {{"listed", Listed},
-                                 {"ended", Changes.size() - Listed},
-                                 {"revision", Through}});
+  logRateLimited("upstreams_told", {{"listed", Listed},
+                                    {"ended", Changes.size() - Listed},
+                                    {"revision", Through}});
 }
 
 void logRouting(const RoutingTable &Table) {
-  logDecision("routing_in_force", {{"version", Table.Version_},
-                                   {"addresses", Table.Addresses_.size()}});
+  logRateLimited("routing_in_force", {{"version", Table.Version_},
+                                      {"addresses", Table.Addresses_.size()}});
 }
 
 void ServiceLog::answered(MonoTime Now, const IntentAnswer &Answer) {
@@ -142,7 +142,7 @@
                 Answer.Outcome_ == IntentAnswer::Outcome::Stale ||
                 Answer.Outcome_ == IntentAnswer::Outcome::HistoryGone;
   if (Answer.Outcome_ == IntentAnswer::Outcome::HistoryGone)
-    logDecision("history_gone", {});
+    logRateLimited("history_gone", {});
   if (Served == !failing())
     return;
   if (Served) {
--- a/src/packet-process-control.cc
+++ b/src/packet-process-control.cc
@@ -23,8 +23,8 @@
   if (News_.hallIsLost(Now) == HallLost_)
     return;
   HallLost_ = !HallLost_;
-  logState(HallLost_ ? "data_hall_lost" : "data_hall_back",
-           {{"data_hall", Settings_.DataHall_}});
+  logStateChange(HallLost_ ? "data_hall_lost" : "data_hall_back",
+                 {{"data_hall", Settings_.DataHall_}});
 }
 
 /// After a stop signal: forwards until the fabric sends nothing any more.
@@ -32,7 +32,7 @@
   bool Quiet = Now >= StopFrom_ && Now - LastPacket_ >= QuietFor;
   if (!Quiet && Now < StopBy_)
     return;
-  logState("stopped", {{"quiet", Quiet}});
+  logStateChange("stopped", {{"quiet", Quiet}});
   Context_.stop();
 }
 
@@ -53,8 +53,8 @@
           Answer(packetPage(report(), pathOf(Target)));
         });
   } catch (const std::system_error &Error) {
-    logState("metrics_not_served",
-             {{"address", formatEndpoint(Where)}, {"reason", Error.what()}});
+    logStateChange("metrics_not_served", {{"address", formatEndpoint(Where)},
+                                          {"reason", Error.what()}});
   }
 }
 
@@ -74,7 +74,7 @@
   R.ServiceCalls_ = ServiceCalls_;
   R.ServiceFailures_ = ServiceFailures_;
   R.RefusedItems_ = RefusedItems_;
-  R.LogLinesDropped_ = droppedLogLines();
+  R.LogLinesDropped_ = droppedLogLineCount();
   R.Reads_ = News_.readFrom() <= R.Now_;
   R.Delays_ = &Delays_;
   return R;
@@ -100,13 +100,13 @@
   if (Watch_.changed())
     takeSettings("signal");
   else
-    logState("settings_unchanged", {{"cause", "signal"}});
+    logStateChange("settings_unchanged", {{"cause", "signal"}});
 }
 
 void PacketProcess::Impl::startStop() {
   if (StopBy_ != MonoTime::max())
     return;
-  logState("stopping", {});
+  logStateChange("stopping", {});
   MonoTime Now = monoNow();
   News_.setLeaving(Now);
   StopFrom_ = Now + FabricNotices;
@@ -119,7 +119,7 @@
   if (!Wanted)
     return;
   for (const std::string &Key : needRestart(Settings_, *Wanted))
-    logState("settings_need_restart", {{"key", Key}});
+    logStateChange("settings_need_restart", {{"key", Key}});
   Settings_.Seeds_ = Wanted->Seeds_;
   News_.setSeeds(Wanted->Seeds_);
   Settings_.StopWithin_ = Wanted->StopWithin_;
@@ -129,7 +129,7 @@
   Settings_.ColdSlack_ = Wanted->ColdSlack_;
   Core_.setLimits(resetWhenKnown(Settings_), Settings_.FlowLimit_,
                   Settings_.ColdOver_, Settings_.ColdSlack_);
-  logState("settings_reloaded", {{"cause", Cause}});
+  logStateChange("settings_reloaded", {{"cause", Cause}});
 }
 
 void PacketProcess::Impl::lookAtSettings(MonoTime Now) {
--- a/src/program.cc
+++ b/src/program.cc
@@ -34,16 +34,16 @@
     cxxopts::ParseResult Result = Options.parse(Count, Values);
     if (Result.count("help") != 0) {
       std::cout << Options.help();
-      std::exit(ExitDone);
+      std::exit(ExitSuccess);
     }
     if (Result.count("version") != 0) {
       std::cout << VersionText << "\n";
-      std::exit(ExitDone);
+      std::exit(ExitSuccess);
     }
     return Result;
   } catch (const cxxopts::exceptions::exception &Error) {
     std::cerr << Error.what() << "\n";
-    std::exit(ExitUsage);
+    std::exit(ExitError);
   }
 }
 
@@ -52,7 +52,7 @@
     return Body();
   } catch (const std::exception &Error) {
     std::cerr << Error.what() << "\n";
-    return ExitUsage;
+    return ExitError;
   }
 }
 
--- a/src/program.h
+++ b/src/program.h
@@ -12,7 +12,7 @@
 
 namespace thymewall::detail {
 
-enum ExitCode { ExitDone = 0, ExitFoundWrong = 1, ExitUsage = 2 };
+enum ExitCode { ExitSuccess = 0, ExitFailure = 1, ExitError = 2 };
 
 /// Whole contents of a file; nothing when it can't be read.
 std::optional<std::string> readFile(const std::string &Path);
@@ -21,12 +21,12 @@
 void printProblems(const Problems &Found);
 
 /// Adds --help, --version and parses. Ends the process itself after printing
-/// either, or with `ExitUsage` and a message for a wrong command line.
+/// either, or with `ExitError` and a message for a wrong command line.
 cxxopts::ParseResult parseArguments(cxxopts::Options &Options, int Count,
                                     char **Values);
 
 /// Reads the file named by --config with \p Parse, or prints what is wrong and
-/// ends the process with `ExitUsage`.
+/// ends the process with `ExitError`.
 template <typename Function>
 auto loadConfig(const std::string &Path, Function Parse)
     -> std::decay_t<decltype(Parse(std::string(), Path).value())> {
@@ -34,22 +34,22 @@
   std::optional<std::string> Text = readFile(Path);
   if (!Text) {
     printProblems({{Path, "(file)", "can't be read"}});
-    std::exit(ExitUsage);
+    std::exit(ExitError);
   }
   return boost::leaf::try_handle_all(
       [&]() -> boost::leaf::result<Result> { return Parse(*Text, Path); },
       [](const Problems &Found) -> Result {
         printProblems(Found);
-        std::exit(ExitUsage);
+        std::exit(ExitError);
       },
       [&]() -> Result {
         printProblems({{Path, "(file)", "can't be parsed"}});
-        std::exit(ExitUsage);
+        std::exit(ExitError);
       });
 }
 
 /// Runs a program's body; an exception that reaches it (an address in use, say)
-/// is printed and becomes `ExitUsage`.
+/// is printed and becomes `ExitError`.
 int runProgram(const std::function<int()> &Body);
 
 } // namespace thymewall::detail
--- a/src/settings-watch.cc
+++ b/src/settings-watch.cc
@@ -28,11 +28,11 @@
       },
       [](const Problems &Found) {
         for (const Problem &P : Found)
-          logState("settings_refused", {{"reason", format(P)}});
+          logStateChange("settings_refused", {{"reason", format(P)}});
         return Result();
       },
       [&] {
-        logState("settings_refused", {{"file", Path_}});
+        logStateChange("settings_refused", {{"file", Path_}});
         return Result();
       });
 }
--- a/src/udp-socket.cc
+++ b/src/udp-socket.cc
@@ -33,7 +33,7 @@
 }
 
 UdpSocket::UdpSocket(asio::io_context &Context, const Endpoint &Local,
-                     Receiver OnReceive)
+                     ReceiveHandler OnReceive)
     : Socket_(Context, toAsio(Local)), OnReceive_(std::move(OnReceive)) {
   asio::error_code Ignored;
   Socket_.set_option(asio::socket_base::receive_buffer_size(BufferBytes),
--- a/src/udp-socket.h
+++ b/src/udp-socket.h
@@ -16,12 +16,12 @@
 
 class UdpSocket {
 public:
-  using Receiver = std::function<void(
+  using ReceiveHandler = std::function<void(
       const Endpoint &From, const std::uint8_t *Data, std::size_t Size)>;
 
   /// Binds to \p Local; port 0 takes any. Throws `std::system_error`.
   UdpSocket(asio::io_context &Context, const Endpoint &Local,
-            Receiver OnReceive);
+            ReceiveHandler OnReceive);
 
   /// Sends at once or drops: datagrams may be lost anyway.
   void send(const Endpoint &To, const std::uint8_t *Data, std::size_t Size);
@@ -37,7 +37,7 @@
   void receiveBurst();
 
   asio::ip::udp::socket Socket_;
-  Receiver OnReceive_;
+  ReceiveHandler OnReceive_;
 };
 
 } // namespace thymewall::detail
--- a/test/http-test.cc
+++ b/test/http-test.cc
@@ -107,7 +107,7 @@
   std::vector<std::string> Results;
   std::function<void()> Call = [&] {
     Client.get("/x", std::chrono::steady_clock::now() + 300ms,
-               [&](std::optional<HttpAnswer> A, const std::string &Reason) {
+               [&](std::optional<HttpResponse> A, const std::string &Reason) {
                  CHECK(A.has_value() == Reason.empty());
                  Results.push_back(A ? std::to_string(A->Status_) + " " +
                                            A->Body_
@@ -126,7 +126,8 @@
 using Strings = std::vector<std::string>;
 
 /// What a server answers to raw bytes, sent in the given pieces.
-std::string exchange(const HttpServer::Source &Pages, const Strings &Pieces) {
+std::string exchange(const HttpServer::RequestHandler &Pages,
+                     const Strings &Pieces) {
   asio::io_context Context;
   tcp::acceptor Free(Context, {asio::ip::address_v4::loopback(), 0});
   std::uint16_t Port = Free.local_endpoint().port();
--- a/test/log-test.cc
+++ b/test/log-test.cc
@@ -26,19 +26,19 @@
 TEST_CASE(
     "a budget allows a burst, then so many lines a second, and counts the "
     "rest") {
-  LogBudget Budget;
+  LogRateLimiter Budget;
   MonoTime Now(100s);
   std::uint32_t Allowed = 0;
   for (int I = 0; I < 1000; ++I)
-    Allowed += Budget.take(Now) ? 1 : 0;
-  CHECK(Allowed == LogBudget::Burst);
-  CHECK(Budget.takeDropped() == 1000 - LogBudget::Burst);
-  CHECK(Budget.takeDropped() == 0);
+    Allowed += Budget.allow(Now) ? 1 : 0;
+  CHECK(Allowed == LogRateLimiter::Burst);
+  CHECK(Budget.takeDroppedCount() == 1000 - LogRateLimiter::Burst);
+  CHECK(Budget.takeDroppedCount() == 0);
   Allowed = 0;
   for (int I = 0; I < 10'000; ++I)
-    Allowed += Budget.take(Now + std::chrono::milliseconds(I)) ? 1 : 0;
-  CHECK(Allowed >= 10 * LogBudget::LinesPerSecond - 1);
-  CHECK(Allowed <= 10 * LogBudget::LinesPerSecond);
+    Allowed += Budget.allow(Now + std::chrono::milliseconds(I)) ? 1 : 0;
+  CHECK(Allowed >= 10 * LogRateLimiter::LinesPerSecond - 1);
+  CHECK(Allowed <= 10 * LogRateLimiter::LinesPerSecond);
 }
 
 TEST_CASE("the log says of the configuration service only what is known") {
--- a/test/standin/fabric.cc
+++ b/test/standin/fabric.cc
@@ -135,7 +135,7 @@
                  Arguments["ports"].as<std::vector<std::uint16_t>>(), F,
                  Arguments["seed"].as<unsigned>());
   Context.run();
-  return ExitDone;
+  return ExitSuccess;
 }
 
 } // namespace
--- a/test/standin/platform.cc
+++ b/test/standin/platform.cc
@@ -95,7 +95,7 @@
   std::string Listen = Arguments["listen"].as<std::string>();
   Endpoint Where = parseEndpoint(Listen);
   Listen.resize(Listen.rfind(':'));
-  return Server.listen(Listen.c_str(), Where.Port_) ? ExitDone : ExitUsage;
+  return Server.listen(Listen.c_str(), Where.Port_) ? ExitSuccess : ExitError;
 }
 
 } // namespace
--- a/test/standin/standin-options.h
+++ b/test/standin/standin-options.h
@@ -36,7 +36,7 @@
       nlohmann::json::parse(readFile(Path).value_or(""), nullptr, false);
   auto Fail = [&](const std::string &Key, const std::string &Reason) {
     printProblems({{Path, Key, Reason}});
-    std::exit(ExitUsage);
+    std::exit(ExitError);
   };
   if (!Root.is_object())
     Fail("(document)", "must be a JSON object");
--- a/test/standin/upstream.cc
+++ b/test/standin/upstream.cc
@@ -344,7 +344,7 @@
   asio::io_context Context(1);
   UpstreamHost Host(Context, O);
   Context.run();
-  return ExitDone;
+  return ExitSuccess;
 }
 
 } // namespace
