--- a/include/thymewall/log.h
+++ b/include/thymewall/log.h
@@ -67,7 +67,7 @@
 void startLog(const std::string &Process);
 
 /// A change of the process's own state; written at once.
-void logStateChange(std::string_view Event, const LogFields &Fields);
+void logState(std::string_view Event, const LogFields &Fields);
 
 /// A decision on a request or a changed belief, within the budget; written with
 /// the next `flushLog`.
--- a/src/balancer-process.cc
+++ b/src/balancer-process.cc
@@ -154,12 +154,12 @@
   Signals_.async_wait([this](const asio::error_code &Error, int) {
     if (Error)
       return;
-    logStateChange("stopping", {});
+    logState("stopping", {});
     Control_.setLeaving();
     give(StopAsked{});
   });
-  logStateChange("started", {{"data", formatEndpoint(Settings_.Data_)},
-                             {"incarnation", std::to_string(raw(Self_))}});
+  logState("started", {{"data", formatEndpoint(Settings_.Data_)},
+                       {"incarnation", std::to_string(raw(Self_))}});
   tick();
   reviewWatching();
 }
@@ -236,20 +236,20 @@
           [this, Id](const Endpoint &From, const std::uint8_t *Data,
                      std::size_t Size) { fromCaller(Id, From, Data, Size); });
     } catch (const std::system_error &Error) {
-      logStateChange("service_socket_failed",
-                     {{"service", S.Name_}, {"reason", Error.what()}});
+      logState("service_socket_failed",
+               {{"service", S.Name_}, {"reason", Error.what()}});
     }
   }
   Platform_.setKnown(DocumentKind::Declaration, Declaration_->Version_);
   Control_.setDocument(DocumentKind::Declaration,
                        {Declaration_->Version_, Declaration_->Digest_},
                        Declaration_->Text_);
-  logStateChange("declaration_in_force",
-                 {{"version", std::to_string(Declaration_->Version_)}});
+  logState("declaration_in_force",
+           {{"version", std::to_string(Declaration_->Version_)}});
 }
 
 void BalancerProcess::Impl::act(const RereadSources &A) {
-  logStateChange("late_wake", {});
+  logState("late_wake", {});
   Asked_ = A.Asked_;
   Platform_.readNow(A.Asked_);
   Control_.askFreshness(A.Asked_);
@@ -260,7 +260,7 @@
 }
 
 void BalancerProcess::Impl::act(const Stopped &) {
-  logStateChange("stopped", {});
+  logState("stopped", {});
   Context_.stop();
 }
 
@@ -287,9 +287,8 @@
                                           const std::string &Source,
                                           std::uint64_t Asked) {
   auto Refused = [](const Problems &Found) {
-    logStateChange("declaration_refused",
-                   {{"count", std::to_string(Found.size())},
-                    {"first", format(Found.front())}});
+    logState("declaration_refused", {{"count", std::to_string(Found.size())},
+                                     {"first", format(Found.front())}});
   };
   boost::leaf::try_handle_all(
       [&]() -> boost::leaf::result<void> {
@@ -297,7 +296,7 @@
         give(DeclarationRead{Read, Asked});
         return {};
       },
-      Refused, [] { logStateChange("declaration_refused", {}); });
+      Refused, [] { logState("declaration_refused", {}); });
 }
 
 void BalancerProcess::Impl::onHosts(const std::string &Text,
@@ -318,9 +317,9 @@
         return {};
       },
       [](const Problems &Found) {
-        logStateChange("host_list_refused", {{"first", format(Found.front())}});
+        logState("host_list_refused", {{"first", format(Found.front())}});
       },
-      [] { logStateChange("host_list_refused", {}); });
+      [] { logState("host_list_refused", {}); });
 }
 
 ControlHooks BalancerProcess::Impl::controlHooks() {
--- a/src/log.cc
+++ b/src/log.cc
@@ -139,7 +139,7 @@
   boost::log::core::get()->add_sink(Sink);
 }
 
-void logStateChange(std::string_view Event, const LogFields &Fields) {
+void logState(std::string_view Event, const LogFields &Fields) {
   line(Event, Fields);
   processLog().Writer_.write();
 }
--- a/src/packet-log.h
+++ b/src/packet-log.h
@@ -27,8 +27,7 @@
 public:
   using Writer = std::function<void(std::string_view, const LogFields &)>;
 
-  explicit ServiceLog(Writer Write = logStateChange)
-      : Write_(std::move(Write)) {}
+  explicit ServiceLog(Writer Write = logState) : Write_(std::move(Write)) {}
 
   void answered(MonoTime Now, const IntentAnswer &Answer);
   /// All that was published up to \p AsOf is known, whoever read it.
--- a/src/packet-process-control.cc
+++ b/src/packet-process-control.cc
@@ -23,8 +23,8 @@
   if (News_.hallIsLost(Now) == HallLost_)
     return;
   HallLost_ = !HallLost_;
-  logStateChange(HallLost_ ? "data_hall_lost" : "data_hall_back",
-                 {{"data_hall", Settings_.DataHall_}});
+  logState(HallLost_ ? "data_hall_lost" : "data_hall_back",
+           {{"data_hall", Settings_.DataHall_}});
 }
 
 /// After a stop signal: forwards until the fabric sends nothing any more.
@@ -32,7 +32,7 @@
   bool Quiet = Now >= StopFrom_ && Now - LastPacket_ >= QuietFor;
   if (!Quiet && Now < StopBy_)
     return;
-  logStateChange("stopped", {{"quiet", Quiet}});
+  logState("stopped", {{"quiet", Quiet}});
   Context_.stop();
 }
 
@@ -53,8 +53,8 @@
           Answer(packetPage(report(), pathOf(Target)));
         });
   } catch (const std::system_error &Error) {
-    logStateChange("metrics_not_served", {{"address", formatEndpoint(Where)},
-                                          {"reason", Error.what()}});
+    logState("metrics_not_served",
+             {{"address", formatEndpoint(Where)}, {"reason", Error.what()}});
   }
 }
 
@@ -100,13 +100,13 @@
   if (Watch_.changed())
     takeSettings("signal");
   else
-    logStateChange("settings_unchanged", {{"cause", "signal"}});
+    logState("settings_unchanged", {{"cause", "signal"}});
 }
 
 void PacketProcess::Impl::startStop() {
   if (StopBy_ != MonoTime::max())
     return;
-  logStateChange("stopping", {});
+  logState("stopping", {});
   MonoTime Now = monoNow();
   News_.setLeaving(Now);
   StopFrom_ = Now + FabricNotices;
@@ -119,7 +119,7 @@
   if (!Wanted)
     return;
   for (const std::string &Key : needRestart(Settings_, *Wanted))
-    logStateChange("settings_need_restart", {{"key", Key}});
+    logState("settings_need_restart", {{"key", Key}});
   Settings_.Seeds_ = Wanted->Seeds_;
   News_.setSeeds(Wanted->Seeds_);
   Settings_.StopWithin_ = Wanted->StopWithin_;
@@ -129,7 +129,7 @@
   Settings_.ColdSlack_ = Wanted->ColdSlack_;
   Core_.setLimits(resetWhenKnown(Settings_), Settings_.FlowLimit_,
                   Settings_.ColdOver_, Settings_.ColdSlack_);
-  logStateChange("settings_reloaded", {{"cause", Cause}});
+  logState("settings_reloaded", {{"cause", Cause}});
 }
 
 void PacketProcess::Impl::lookAtSettings(MonoTime Now) {
--- a/src/packet-process-news.cc
+++ b/src/packet-process-news.cc
@@ -91,8 +91,8 @@
     News_.received(Now, Link, M);
     return noteReady();
   }
-  logStateChange("peer_message_refused",
-                 {{"reason", std::string(errorRow(Kind).Name_)}});
+  logState("peer_message_refused",
+           {{"reason", std::string(errorRow(Kind).Name_)}});
   Links_.close(Link);
 }
 
@@ -101,7 +101,7 @@
   if (CurrentTold_)
     return;
   CurrentTold_ = true;
-  logStateChange("knowledge_current", {{"revision", News_.through()}});
+  logState("knowledge_current", {{"revision", News_.through()}});
 }
 
 NewsHooks PacketProcess::Impl::newsHooks() {
--- a/src/packet-process.cc
+++ b/src/packet-process.cc
@@ -87,8 +87,8 @@
   Core_.arrived(monoNow()); // others may come with it
   awaitSignal();
   serveMetrics();
-  logStateChange("started", {{"packets", formatEndpoint(Settings_.Packets_)},
-                             {"data_hall", Settings_.DataHall_}});
+  logState("started", {{"packets", formatEndpoint(Settings_.Packets_)},
+                       {"data_hall", Settings_.DataHall_}});
   review();
 }
 
@@ -190,9 +190,9 @@
   if (ReadyTold_ || !Core_.ready())
     return;
   ReadyTold_ = true;
-  logStateChange("ready", {{"routing_version", Routing_->Version_},
-                           {"revision", News_.through()},
-                           {"held_packets", Held_.size()}});
+  logState("ready", {{"routing_version", Routing_->Version_},
+                     {"revision", News_.through()},
+                     {"held_packets", Held_.size()}});
   releaseHeld();
 }
 
--- a/src/settings-watch.cc
+++ b/src/settings-watch.cc
@@ -28,11 +28,11 @@
       },
       [](const Problems &Found) {
         for (const Problem &P : Found)
-          logStateChange("settings_refused", {{"reason", format(P)}});
+          logState("settings_refused", {{"reason", format(P)}});
         return Result();
       },
       [&] {
-        logStateChange("settings_refused", {{"file", Path_}});
+        logState("settings_refused", {{"file", Path_}});
         return Result();
       });
 }
