--- a/include/thymewall/log.h
+++ b/include/thymewall/log.h
@@ -58,9 +58,9 @@
   std::uint64_t takeDroppedCount();
 
 private:
-  MonoTime Last_{};
+  MonoTime LastRefill_{};
   std::uint64_t Dropped_ = 0;
-  double Left_ = Burst;
+  double Tokens_ = Burst;
 };
 
 /// Starts the log of this process.
--- a/include/thymewall/metrics.h
+++ b/include/thymewall/metrics.h
@@ -25,7 +25,7 @@
   /// The smallest bin edge with at least this share (0 to 1) below it; zero
   /// without data.
   Micros quantile(const std::string &Tenant, const std::string &Class,
-                  double Share) const;
+                  double Fraction) const;
   /// {"TENANT": {"CLASS": {"count":N,"p50_us":..,"p99_us":..,"bins":[..]}}}
   std::string json() const;
   /// Prometheus text format 0.0.4, one histogram per tenant and class.
--- a/src/ctl-main.cc
+++ b/src/ctl-main.cc
@@ -26,7 +26,7 @@
 };
 
 /// Parses "2026-12-02T18:30Z".
-WallTime parseTime(const std::string &Text) {
+WallTime parseUtcTime(const std::string &Text) {
   std::istringstream In(Text);
   date::sys_time<std::chrono::minutes> When;
   In >> date::parse("%FT%RZ", When);
@@ -45,14 +45,14 @@
 int check(const std::vector<std::string> &Files, WallTime From) {
   if (Files.empty())
     throw UsageError("check needs at least one FILE");
-  Problems All;
-  auto Note = [&](const Problems &Found) {
-    All.insert(All.end(), Found.begin(), Found.end());
+  Problems AllProblems;
+  auto AddProblems = [&](const Problems &Found) {
+    AllProblems.insert(AllProblems.end(), Found.begin(), Found.end());
   };
   for (const std::string &File : Files) {
     std::optional<std::string> Text = readFile(File);
     if (!Text) {
-      Note({{File, "(file)", "can't be read"}});
+      AddProblems({{File, "(file)", "can't be read"}});
       continue;
     }
     Json Root = Json::parse(*Text, nullptr, false);
@@ -66,24 +66,25 @@
             BOOST_LEAF_CHECK((parseHostList(*Text, File)));
           } else {
             BOOST_LEAF_AUTO(Read, parseDeclaration(*Text, File, zoneClock()));
-            Note(checkWeek(*Read, File, zoneClock(), From));
+            AddProblems(checkWeek(*Read, File, zoneClock(), From));
           }
           return {};
         },
-        Note, [] {});
+        AddProblems, [] {});
   }
-  printProblems(All);
-  std::cout << Files.size() << " checked, " << All.size() << " problems\n";
-  return All.empty() ? ExitSuccess : ExitFailure;
+  printProblems(AllProblems);
+  std::cout << Files.size() << " checked, " << AllProblems.size()
+            << " problems\n";
+  return AllProblems.empty() ? ExitSuccess : ExitFailure;
 }
 
-int explainService(const std::vector<std::string> &Words, WallTime When) {
-  if (Words.size() != 2)
+int explainService(const std::vector<std::string> &Operands, WallTime When) {
+  if (Operands.size() != 2)
     throw UsageError("explain needs SERVICE and FILE");
-  DeclarationPtr D = loadDeclaration(Words[1]);
-  const Service *S = D->service(static_cast<ServiceId>(nameId(Words[0])));
+  DeclarationPtr D = loadDeclaration(Operands[1]);
+  const Service *S = D->service(static_cast<ServiceId>(nameId(Operands[0])));
   if (!S) {
-    std::cerr << Words[1] << ": services: \"" << Words[0]
+    std::cerr << Operands[1] << ": services: \"" << Operands[0]
               << "\" is not declared\n";
     return ExitFailure;
   }
@@ -95,8 +96,8 @@
   return ExitSuccess;
 }
 
-std::set<std::string> servingNames(const Declaration &D, const Service &S,
-                                   WallTime When) {
+std::set<std::string> eligibleNames(const Declaration &D, const Service &S,
+                                    WallTime When) {
   std::set<std::string> Names;
   for (std::size_t Index : eligible(D, S, zoneClock(), When))
     Names.insert(D.Upstreams_[Index].Name_);
@@ -104,11 +105,11 @@
 }
 
 /// Prints which upstreams each service would lose and gain.
-int diff(const std::vector<std::string> &Words, WallTime When) {
-  if (Words.size() != 2)
+int diff(const std::vector<std::string> &Operands, WallTime When) {
+  if (Operands.size() != 2)
     throw UsageError("diff needs OLD and NEW");
-  DeclarationPtr Old = loadDeclaration(Words[0]);
-  DeclarationPtr New = loadDeclaration(Words[1]);
+  DeclarationPtr Old = loadDeclaration(Operands[0]);
+  DeclarationPtr New = loadDeclaration(Operands[1]);
   std::cout << "version " << Old->Version_ << " -> " << New->Version_ << "\n";
   std::set<std::string> Services;
   for (const DeclarationPtr &D : {Old, New})
@@ -119,9 +120,9 @@
     std::set<std::string> Before;
     std::set<std::string> After;
     if (const Service *S = Old->service(Id))
-      Before = servingNames(*Old, *S, When);
+      Before = eligibleNames(*Old, *S, When);
     if (const Service *S = New->service(Id))
-      After = servingNames(*New, *S, When);
+      After = eligibleNames(*New, *S, When);
     for (const std::string &U : Before)
       if (After.count(U) == 0)
         std::cout << Name << ": - " << U
@@ -183,39 +184,41 @@
 }
 
 /// Where new flows of a callers' address go at each packet balancer.
-int route(const std::string &Where, const std::vector<std::string> &Addresses) {
-  bool AllKnow = true;
+int route(const std::string &CallerAddress,
+          const std::vector<std::string> &Addresses) {
+  bool AllFound = true;
   for (const std::string &Address : Addresses) {
     std::optional<Json> Page = fetchStatus(Address);
     if (!Page)
       std::cout << Address << ": no answer\n";
-    bool Known =
-        Page && isPacketStatus(*Page) && printRoute(*Page, Where, std::cout);
-    AllKnow = AllKnow && Known;
+    bool Found = Page && isPacketStatus(*Page) &&
+                 printRoute(*Page, CallerAddress, std::cout);
+    AllFound = AllFound && Found;
   }
-  return AllKnow ? ExitSuccess : ExitFailure;
+  return AllFound ? ExitSuccess : ExitFailure;
 }
 
 /// Waits until every balancer has a version in force; prints the seconds.
-int waitFor(const std::vector<std::string> &Addresses, Version Wanted,
-            int TimeoutSeconds) {
-  constexpr auto Pause = std::chrono::milliseconds(20);
+int waitForVersion(const std::vector<std::string> &Addresses, Version Wanted,
+                   int TimeoutSeconds) {
+  constexpr auto PollInterval = std::chrono::milliseconds(20);
   auto Start = std::chrono::steady_clock::now();
-  auto GiveUpAt = Start + std::chrono::seconds(TimeoutSeconds);
-  std::set<std::string> Left(Addresses.begin(), Addresses.end());
-  while (!Left.empty() && std::chrono::steady_clock::now() < GiveUpAt) {
-    for (auto At = Left.begin(); At != Left.end();) {
-      std::optional<Json> Page = fetchStatus(*At);
+  auto Deadline = Start + std::chrono::seconds(TimeoutSeconds);
+  std::set<std::string> Remaining(Addresses.begin(), Addresses.end());
+  while (!Remaining.empty() && std::chrono::steady_clock::now() < Deadline) {
+    for (auto It = Remaining.begin(); It != Remaining.end();) {
+      std::optional<Json> Page = fetchStatus(*It);
       bool InForce = Page && Page->at("version").get<Version>() >= Wanted;
-      At = InForce ? Left.erase(At) : std::next(At);
+      It = InForce ? Remaining.erase(It) : std::next(It);
     }
-    std::this_thread::sleep_for(Pause);
+    std::this_thread::sleep_for(PollInterval);
   }
-  std::chrono::duration<double> Took = std::chrono::steady_clock::now() - Start;
-  std::cout << Took.count() << "\n";
-  for (const std::string &Address : Left)
+  std::chrono::duration<double> Elapsed =
+      std::chrono::steady_clock::now() - Start;
+  std::cout << Elapsed.count() << "\n";
+  for (const std::string &Address : Remaining)
     std::cerr << Address << ": version " << Wanted << " is not in force\n";
-  return Left.empty() ? ExitSuccess : ExitFailure;
+  return Remaining.empty() ? ExitSuccess : ExitFailure;
 }
 
 /// The status addresses of the balancers: those given, or all of --config.
@@ -250,30 +253,31 @@
   Options.parse_positional("words");
   Options.positional_help("COMMAND [ARGUMENT...]");
   auto Arguments = parseArguments(Options, Count, Values);
-  std::vector<std::string> Words;
+  std::vector<std::string> Operands;
   if (Arguments.count("words") != 0)
-    Words = Arguments["words"].as<std::vector<std::string>>();
-  if (Words.empty())
+    Operands = Arguments["words"].as<std::vector<std::string>>();
+  if (Operands.empty())
     throw UsageError("a command is needed; see --help");
-  std::string Command = Words.front();
-  Words.erase(Words.begin());
+  std::string Command = Operands.front();
+  Operands.erase(Operands.begin());
   WallTime When = Arguments.count("at") != 0
-                      ? parseTime(Arguments["at"].as<std::string>())
+                      ? parseUtcTime(Arguments["at"].as<std::string>())
                       : wallNow();
   if (Command == "check")
-    return check(Words, When);
+    return check(Operands, When);
   if (Command == "explain")
-    return explainService(Words, When);
+    return explainService(Operands, When);
   if (Command == "diff")
-    return diff(Words, When);
+    return diff(Operands, When);
   if (Command == "status")
-    return status(addresses(Words, Arguments));
-  if (Command == "route" && !Words.empty())
-    return route(Words.front(),
-                 addresses({Words.begin() + 1, Words.end()}, Arguments));
+    return status(addresses(Operands, Arguments));
+  if (Command == "route" && !Operands.empty())
+    return route(Operands.front(),
+                 addresses({Operands.begin() + 1, Operands.end()}, Arguments));
   if (Command == "wait")
-    return waitFor(addresses(Words, Arguments), Arguments["is"].as<Version>(),
-                   Arguments["timeout"].as<int>());
+    return waitForVersion(addresses(Operands, Arguments),
+                          Arguments["is"].as<Version>(),
+                          Arguments["timeout"].as<int>());
   throw UsageError("\"" + Command + "\" is not a command; see --help");
 }
 
--- a/src/ctl-packet.cc
+++ b/src/ctl-packet.cc
@@ -9,12 +9,12 @@
 using Json = nlohmann::json;
 
 void printUpstream(const Json &U, std::ostream &Out) {
-  auto WhyNot = U.at("why_not").get<std::string>();
+  auto Reason = U.at("why_not").get<std::string>();
   Out << "  " << U.at("name").get<std::string>() << " at "
       << U.at("address").get<std::string>() << " of "
       << U.at("service").get<std::string>() << " in "
       << U.at("data_hall").get<std::string>() << ": "
-      << (WhyNot.empty() ? "takes new flows" : WhyNot) << ", own flows "
+      << (Reason.empty() ? "takes new flows" : Reason) << ", own flows "
       << U.at("own_flows") << ", requests in progress " << U.at("in_flight")
       << "\n";
 }
--- a/src/http-client.cc
+++ b/src/http-client.cc
@@ -18,12 +18,12 @@
 using Parser = http::response_parser<http::string_body>;
 
 /// Largest answer: a page of items with some room.
-constexpr std::uint64_t MaxBody = 8 << 20;
-constexpr std::size_t ReadSize = 16384;
+constexpr std::uint64_t MaxBodyBytes = 8 << 20;
+constexpr std::size_t ReadBufferBytes = 16384;
 /// An answer that has begun fails once nothing more of it has come for this
 /// long: a whole list may take seconds when a fleet starts at once, and one
 /// that is given up and asked for again takes as long again.
-constexpr auto QuietFor = std::chrono::milliseconds(1000);
+constexpr auto ReadIdleTimeout = std::chrono::milliseconds(1000);
 
 } // namespace
 
@@ -33,13 +33,13 @@
       : Socket_(Context), Timer_(Context), Server_(toAsio(Server)),
         Host_(formatEndpoint(Server)) {}
 
-  void get(const std::string &Target, std::chrono::steady_clock::time_point By,
-           Handler OnAnswer) {
-    OnAnswer_ = std::move(OnAnswer);
+  void get(const std::string &Target,
+           std::chrono::steady_clock::time_point Deadline, Handler OnResponse) {
+    OnResponse_ = std::move(OnResponse);
     Request_ = "GET " + Target + " HTTP/1.1\r\nHost: " + Host_ + "\r\n\r\n";
-    ++Call_;
-    FailAt_ = By;
-    watchTime();
+    ++RequestId_;
+    FailAt_ = Deadline;
+    armTimer();
     if (Socket_.is_open())
       send();
     else
@@ -47,8 +47,8 @@
   }
 
   void close() {
-    OnAnswer_ = nullptr;
-    ++Call_;
+    OnResponse_ = nullptr;
+    ++RequestId_;
     Timer_.cancel();
     asio::error_code Ignored;
     Socket_.close(Ignored);
@@ -56,10 +56,10 @@
 
 private:
   /// Wraps a completion handler: it does nothing once the call has ended.
-  template <typename Function> auto during(Function Then) {
-    return [Self = shared_from_this(), Call = Call_,
+  template <typename Function> auto guard(Function Then) {
+    return [Self = shared_from_this(), RequestId = RequestId_,
             Then](const asio::error_code &Error, auto... Rest) {
-      if (Self->Call_ != Call)
+      if (Self->RequestId_ != RequestId)
         return;
       if (Error)
         Self->fail(Error.message());
@@ -69,14 +69,14 @@
   }
 
   /// Ends the call at `FailAt_`, which moves on while an answer comes.
-  void watchTime() {
+  void armTimer() {
     Timer_.expires_at(FailAt_);
     Timer_.async_wait([Self = shared_from_this(),
-                       Call = Call_](const asio::error_code &Error) {
-      if (Error || Self->Call_ != Call)
+                       RequestId = RequestId_](const asio::error_code &Error) {
+      if (Error || Self->RequestId_ != RequestId)
         return;
       if (Self->FailAt_ > std::chrono::steady_clock::now())
-        Self->watchTime();
+        Self->armTimer();
       else
         Self->fail("no answer in time");
     });
@@ -84,7 +84,7 @@
 
   void connect() {
     Socket_.async_connect(
-        {Server_.address(), Server_.port()}, during([](Impl &Self) {
+        {Server_.address(), Server_.port()}, guard([](Impl &Self) {
           asio::error_code Ignored;
           Self.Socket_.set_option(asio::ip::tcp::no_delay(true), Ignored);
           Self.send();
@@ -94,40 +94,41 @@
   void send() {
     asio::async_write(
         Socket_, asio::buffer(Request_),
-        during([](Impl &Self, std::size_t) { Self.startReading(); }));
+        guard([](Impl &Self, std::size_t) { Self.startReading(); }));
   }
 
   void startReading() {
     Parser_.emplace();
-    Parser_->body_limit(MaxBody);
+    Parser_->body_limit(MaxBodyBytes);
     Parser_->eager(true);
-    Pending_.clear();
+    Unparsed_.clear();
     read();
   }
 
   void read() {
     Socket_.async_read_some(
         asio::buffer(Buffer_),
-        during([](Impl &Self, std::size_t Size) { Self.parse(Size); }));
+        guard([](Impl &Self, std::size_t Size) { Self.parse(Size); }));
   }
 
   void parse(std::size_t Size) {
-    FailAt_ = std::max(FailAt_, std::chrono::steady_clock::now() + QuietFor);
-    Pending_.append(Buffer_.data(), Size);
+    FailAt_ =
+        std::max(FailAt_, std::chrono::steady_clock::now() + ReadIdleTimeout);
+    Unparsed_.append(Buffer_.data(), Size);
     boost::system::error_code Error;
-    std::size_t Used = 0;
-    while (Used < Pending_.size() && !Parser_->is_done()) {
-      std::size_t Taken =
-          Parser_->put(boost::asio::const_buffer(Pending_.data() + Used,
-                                                 Pending_.size() - Used),
+    std::size_t Parsed = 0;
+    while (Parsed < Unparsed_.size() && !Parser_->is_done()) {
+      std::size_t Consumed =
+          Parser_->put(boost::asio::const_buffer(Unparsed_.data() + Parsed,
+                                                 Unparsed_.size() - Parsed),
                        Error);
-      Used += Taken;
-      if (Error == http::error::need_more || Taken == 0)
+      Parsed += Consumed;
+      if (Error == http::error::need_more || Consumed == 0)
         break;
       if (Error)
         return fail("not HTTP: " + Error.message());
     }
-    Pending_.erase(0, Used);
+    Unparsed_.erase(0, Parsed);
     if (Parser_->is_done())
       finish();
     else
@@ -135,22 +136,22 @@
   }
 
   void finish() {
-    HttpResponse Answer{Parser_->get().result_int(),
-                        std::move(Parser_->get().body())};
-    bool Kept = Parser_->keep_alive();
-    Handler Done = std::move(OnAnswer_);
-    endCall(!Kept);
-    Done(std::move(Answer), "");
+    HttpResponse Response{Parser_->get().result_int(),
+                          std::move(Parser_->get().body())};
+    bool KeepAlive = Parser_->keep_alive();
+    Handler Done = std::move(OnResponse_);
+    endRequest(!KeepAlive);
+    Done(std::move(Response), "");
   }
 
   void fail(const std::string &Reason) {
-    Handler Done = std::move(OnAnswer_);
-    endCall(true);
+    Handler Done = std::move(OnResponse_);
+    endRequest(true);
     Done(std::nullopt, Reason);
   }
 
-  void endCall(bool Close) {
-    ++Call_;
+  void endRequest(bool Close) {
+    ++RequestId_;
     Timer_.cancel();
     asio::error_code Ignored;
     if (Close)
@@ -163,20 +164,21 @@
   asio::ip::udp::endpoint Server_;
   std::string Host_;
   std::string Request_;
-  std::string Pending_; ///< Read, but not parsed yet.
+  std::string Unparsed_; ///< Read, but not parsed yet.
   std::optional<Parser> Parser_;
-  std::array<char, ReadSize> Buffer_{};
-  Handler OnAnswer_;
-  std::uint64_t Call_ = 0; ///< Changes when a call starts and when it ends.
+  std::array<char, ReadBufferBytes> Buffer_{};
+  Handler OnResponse_;
+  std::uint64_t RequestId_ =
+      0; ///< Changes when a call starts and when it ends.
 };
 
 HttpClient::HttpClient(asio::io_context &Context, const Endpoint &Server)
     : Impl_(std::make_shared<Impl>(Context, Server)) {}
 HttpClient::~HttpClient() { Impl_->close(); }
 void HttpClient::get(const std::string &Target,
-                     std::chrono::steady_clock::time_point By,
-                     Handler OnAnswer) {
-  Impl_->get(Target, By, std::move(OnAnswer));
+                     std::chrono::steady_clock::time_point Deadline,
+                     Handler OnResponse) {
+  Impl_->get(Target, Deadline, std::move(OnResponse));
 }
 
 } // namespace thymewall::detail
--- a/src/http-client.h
+++ b/src/http-client.h
@@ -28,11 +28,11 @@
   HttpClient(asio::io_context &Context, const Endpoint &Server);
   ~HttpClient();
 
-  /// Calls \p OnAnswer once, never before this returns. The answer must begin
-  /// by \p By and then keep coming. The call before must have been answered.
-  /// After a failure the connection is made anew.
-  void get(const std::string &Target, std::chrono::steady_clock::time_point By,
-           Handler OnAnswer);
+  /// Calls \p OnResponse once, never before this returns. The answer must begin
+  /// by \p Deadline and then keep coming. The call before must have been
+  /// answered. After a failure the connection is made anew.
+  void get(const std::string &Target,
+           std::chrono::steady_clock::time_point Deadline, Handler OnResponse);
 
 private:
   class Impl;
--- a/src/http-server.cc
+++ b/src/http-server.cc
@@ -16,16 +16,16 @@
 
 namespace http = boost::beast::http;
 using Parser = http::request_parser<http::empty_body>;
-using PagesPtr = std::shared_ptr<const HttpServer::RequestHandler>;
+using HandlerPtr = std::shared_ptr<const HttpServer::RequestHandler>;
 
-constexpr std::size_t ReadSize = 2048;
+constexpr std::size_t ReadBufferBytes = 2048;
 /// A connection that sends nothing for this long is closed; the fabric asks
 /// twice a second.
-constexpr auto IdleLimit = std::chrono::seconds(30);
+constexpr auto IdleTimeout = std::chrono::seconds(30);
 /// Connections held at once: the fabric, a scraper and some operators.
 constexpr std::size_t MaxConnections = 64;
 
-std::string render(const HttpPage &Page) {
+std::string formatResponse(const HttpPage &Page) {
   std::string Text = "HTTP/1.1 " + std::to_string(Page.Status_) + " ";
   Text += http::obsolete_reason(http::int_to_status(Page.Status_));
   Text += "\r\nContent-Type: " + Page.Type_;
@@ -36,13 +36,13 @@
 /// One connection; lives while an operation on it is under way.
 class Connection : public std::enable_shared_from_this<Connection> {
 public:
-  Connection(asio::ip::tcp::socket Socket, PagesPtr Pages,
-             std::shared_ptr<std::size_t> Open)
-      : Socket_(std::move(Socket)), Idle_(Socket_.get_executor()),
-        Pages_(std::move(Pages)), Open_(std::move(Open)) {
-    ++*Open_;
+  Connection(asio::ip::tcp::socket Socket, HandlerPtr Handler,
+             std::shared_ptr<std::size_t> OpenCount)
+      : Socket_(std::move(Socket)), IdleTimer_(Socket_.get_executor()),
+        Handler_(std::move(Handler)), OpenCount_(std::move(OpenCount)) {
+    ++*OpenCount_;
   }
-  ~Connection() { --*Open_; }
+  ~Connection() { --*OpenCount_; }
 
   void start() {
     Parser_.emplace();
@@ -52,12 +52,13 @@
 
 private:
   void armIdleTimer() {
-    Idle_.expires_after(IdleLimit);
-    Idle_.async_wait([Self = shared_from_this()](const asio::error_code &E) {
-      asio::error_code Ignored;
-      if (!E)
-        Self->Socket_.close(Ignored);
-    });
+    IdleTimer_.expires_after(IdleTimeout);
+    IdleTimer_.async_wait(
+        [Self = shared_from_this()](const asio::error_code &E) {
+          asio::error_code Ignored;
+          if (!E)
+            Self->Socket_.close(Ignored);
+        });
   }
 
   void read() {
@@ -66,67 +67,67 @@
         [Self = shared_from_this()](const asio::error_code &Error,
                                     std::size_t Size) {
           if (Error)
-            Self->Idle_.cancel();
+            Self->IdleTimer_.cancel();
           else
             Self->parse(Size);
         });
   }
 
   void parse(std::size_t Size) {
-    Pending_.append(Buffer_.data(), Size);
+    Unparsed_.append(Buffer_.data(), Size);
     boost::system::error_code Error;
-    std::size_t Used = Parser_->put(
-        boost::asio::const_buffer(Pending_.data(), Pending_.size()), Error);
-    Pending_.erase(0, Used);
+    std::size_t Parsed = Parser_->put(
+        boost::asio::const_buffer(Unparsed_.data(), Unparsed_.size()), Error);
+    Unparsed_.erase(0, Parsed);
     if (Parser_->is_done())
-      return answer();
+      return handleRequest();
     if (Error && Error != http::error::need_more) {
-      Idle_.cancel();
+      IdleTimer_.cancel();
       return; // not HTTP: the connection ends with this object
     }
     read();
   }
 
-  void answer() {
+  void handleRequest() {
     const auto &Request = Parser_->get();
     std::string Target(Request.target());
     if (Request.method() != http::verb::get)
       return write({405, "text/plain", ""});
-    (*Pages_)(Target, [Self = shared_from_this()](const HttpPage &Page) {
+    (*Handler_)(Target, [Self = shared_from_this()](const HttpPage &Page) {
       Self->write(Page);
     });
   }
 
   void write(const HttpPage &Page) {
-    Text_ = render(Page);
-    bool Kept = Parser_->keep_alive();
-    asio::async_write(Socket_, asio::buffer(Text_),
+    Output_ = formatResponse(Page);
+    bool KeepAlive = Parser_->keep_alive();
+    asio::async_write(Socket_, asio::buffer(Output_),
                       [Self = shared_from_this(),
-                       Kept](const asio::error_code &Error, std::size_t) {
-                        if (Error || !Kept)
-                          Self->Idle_.cancel();
+                       KeepAlive](const asio::error_code &Error, std::size_t) {
+                        if (Error || !KeepAlive)
+                          Self->IdleTimer_.cancel();
                         else
                           Self->start();
                       });
   }
 
   asio::ip::tcp::socket Socket_;
-  asio::steady_timer Idle_;
-  PagesPtr Pages_;
-  std::shared_ptr<std::size_t> Open_;
+  asio::steady_timer IdleTimer_;
+  HandlerPtr Handler_;
+  std::shared_ptr<std::size_t> OpenCount_;
   std::optional<Parser> Parser_;
-  std::array<char, ReadSize> Buffer_{};
-  std::string Pending_;
-  std::string Text_;
+  std::array<char, ReadBufferBytes> Buffer_{};
+  std::string Unparsed_;
+  std::string Output_;
 };
 
 } // namespace
 
 class HttpServer::Impl : public std::enable_shared_from_this<Impl> {
 public:
-  Impl(asio::io_context &Context, const Endpoint &Where, RequestHandler Pages)
-      : Acceptor_(Context, {toAsio(Where).address(), Where.Port_}),
-        Pages_(std::make_shared<const RequestHandler>(std::move(Pages))) {}
+  Impl(asio::io_context &Context, const Endpoint &Local, RequestHandler Handler)
+      : Acceptor_(Context, {toAsio(Local).address(), Local.Port_}),
+        Handler_(std::make_shared<const RequestHandler>(std::move(Handler))) {}
 
   void accept() {
     Acceptor_.async_accept(
@@ -134,9 +135,9 @@
                                     asio::ip::tcp::socket Socket) {
           if (!Self->Acceptor_.is_open())
             return;
-          if (!Error && *Self->Open_ < MaxConnections)
-            std::make_shared<Connection>(std::move(Socket), Self->Pages_,
-                                         Self->Open_)
+          if (!Error && *Self->OpenCount_ < MaxConnections)
+            std::make_shared<Connection>(std::move(Socket), Self->Handler_,
+                                         Self->OpenCount_)
                 ->start();
           Self->accept();
         });
@@ -149,13 +150,13 @@
 
 private:
   asio::ip::tcp::acceptor Acceptor_;
-  PagesPtr Pages_;
-  std::shared_ptr<std::size_t> Open_ = std::make_shared<std::size_t>(0);
+  HandlerPtr Handler_;
+  std::shared_ptr<std::size_t> OpenCount_ = std::make_shared<std::size_t>(0);
 };
 
-HttpServer::HttpServer(asio::io_context &Context, const Endpoint &Where,
-                       RequestHandler Pages)
-    : Impl_(std::make_shared<Impl>(Context, Where, std::move(Pages))) {
+HttpServer::HttpServer(asio::io_context &Context, const Endpoint &Local,
+                       RequestHandler Handler)
+    : Impl_(std::make_shared<Impl>(Context, Local, std::move(Handler))) {
   Impl_->accept();
 }
 HttpServer::~HttpServer() { Impl_->close(); }
--- a/src/http-server.h
+++ b/src/http-server.h
@@ -30,11 +30,11 @@
   /// Makes the page of a target (path and query); status 404 for one that there
   /// is not.
   using RequestHandler =
-      std::function<void(const std::string &Target, const Reply &Answer)>;
+      std::function<void(const std::string &Target, const Reply &Respond)>;
 
   /// Throws `std::system_error` when the address can't be bound.
-  HttpServer(asio::io_context &Context, const Endpoint &Where,
-             RequestHandler Pages);
+  HttpServer(asio::io_context &Context, const Endpoint &Local,
+             RequestHandler Handler);
   ~HttpServer();
 
 private:
--- a/src/load-audit.h
+++ b/src/load-audit.h
@@ -8,15 +8,16 @@
 
 namespace thymewall::detail {
 
-struct Verdict {
-  std::string Line_;  ///< One JSON object.
-  bool Kept_ = false; ///< No promise was seen broken.
+struct AuditResult {
+  std::string Json_;    ///< One JSON object.
+  bool Passed_ = false; ///< No promise was seen broken.
 };
 
 /// \p Callers and \p Upstreams are records in JSON; throws
 /// `std::runtime_error` for one that can't be read.
-Verdict audit(const std::string &Callers,
-              const std::vector<std::string> &Upstreams, double ConfigSeconds);
+AuditResult auditRun(const std::string &Callers,
+                     const std::vector<std::string> &Upstreams,
+                     double ConfigSeconds);
 
 } // namespace thymewall::detail
 
--- a/src/load-main.cc
+++ b/src/load-main.cc
@@ -11,7 +11,7 @@
 
 namespace {
 
-std::string need(const std::string &Path) {
+std::string readRequiredFile(const std::string &Path) {
   std::optional<std::string> Text = readFile(Path);
   if (!Text)
     throw std::runtime_error(Path + ": can't be read");
@@ -23,10 +23,11 @@
   std::vector<std::string> Upstreams;
   Upstreams.reserve(Files.size());
   for (const std::string &File : Files)
-    Upstreams.push_back(need(File));
-  Verdict V = audit(need(Record), Upstreams, ConfigSeconds);
-  std::cout << V.Line_ << "\n";
-  return V.Kept_ ? ExitSuccess : ExitFailure;
+    Upstreams.push_back(readRequiredFile(File));
+  AuditResult Result =
+      auditRun(readRequiredFile(Record), Upstreams, ConfigSeconds);
+  std::cout << Result.Json_ << "\n";
+  return Result.Passed_ ? ExitSuccess : ExitFailure;
 }
 
 int run(int Count, char **Values) {
--- a/src/load-run.cc
+++ b/src/load-run.cc
@@ -18,22 +18,22 @@
 using namespace std::chrono_literals;
 using SteadyTime = std::chrono::steady_clock::time_point;
 
-constexpr auto TickEvery = 5ms;
-constexpr auto ResendEvery = 200ms;
-constexpr auto PingEvery = 4s;
+constexpr auto TickInterval = 5ms;
+constexpr auto ResendInterval = 200ms;
+constexpr auto PingInterval = 4s;
 /// A final answer should have come by the deadline and this.
 constexpr auto GraceAfterDeadline = 300ms;
-constexpr auto DrainFor = 500ms;
-constexpr std::size_t OpenPadding = 140;
+constexpr auto DrainTime = 500ms;
+constexpr std::size_t OpenPaddingBytes = 140;
 
 enum class State { Waiting, Opening, Idle, Requesting, Done };
 
 /// The request that a flow has in progress. Resends carry the route of the
 /// first send: it is part of the request's identity.
-struct Pending {
+struct PendingRequest {
   std::uint64_t Id_ = 0;
   std::uint32_t Number_ = 0;
-  bool Once_ = false;
+  bool AtMostOnce_ = false;
   SealedRoute Route_;
   SteadyTime SentAt_;
   SteadyTime ResendAt_;
@@ -48,11 +48,11 @@
   std::size_t Class_ = 0;
   std::size_t Socket_ = 0;
   State State_ = State::Waiting;
-  SteadyTime NextAt_;
-  SteadyTime PingAt_;
+  SteadyTime NextActionAt_;
+  SteadyTime NextPingAt_;
   SealedRoute Route_;
-  Pending Pending_;
-  std::uint32_t Requests_ = 0; ///< Done so far.
+  PendingRequest Pending_;
+  std::uint32_t CompletedRequests_ = 0; ///< Done so far.
   std::uint32_t Number_ = 0;
   std::uint32_t PushesInOrder_ = 0;
 };
@@ -68,8 +68,8 @@
   std::uint64_t WrongService_ = 0;
   std::uint64_t MixedParts_ = 0;
   std::uint64_t Pushes_ = 0;
-  std::vector<std::uint64_t> AnsweredOnce_;
-  std::vector<std::uint64_t> NotRunOnce_;
+  std::vector<std::uint64_t> AnsweredAtMostOnce_;
+  std::vector<std::uint64_t> NotRunAtMostOnce_;
 };
 
 WallTime wallNow() {
@@ -77,7 +77,7 @@
       std::chrono::system_clock::now().time_since_epoch()));
 }
 
-void keep(SealedRoute &Into, Bytes From) {
+void storeRoute(SealedRoute &Into, Bytes From) {
   if (From.empty() || From.Size_ > MaxRoute)
     return;
   std::memcpy(Into.Bytes_.data(), From.Data_, From.Size_);
@@ -95,7 +95,7 @@
   void schedule();
   void tick();
   void start(CallerFlow &F, SteadyTime Now);
-  void step(CallerFlow &F, SteadyTime Now);
+  void runDueAction(CallerFlow &F, SteadyTime Now);
   void sendOpen(CallerFlow &F, SteadyTime Now);
   void sendRequest(CallerFlow &F, SteadyTime Now);
   void beginRequest(CallerFlow &F, SteadyTime Now);
@@ -107,16 +107,16 @@
   void onAnswer(CallerFlow &F, const Message &M);
   void onRefused(CallerFlow &F, const Message &M);
   void onReset(CallerFlow &F, const Message &M);
-  void noteNotCompleted(CallerFlow &F, const Message &M);
+  void recordNotCompleted(CallerFlow &F, const Message &M);
   void onPush(CallerFlow &F, const Message &M);
   void reopen(CallerFlow &F, SteadyTime At);
   void send(CallerFlow &F, Message &M);
   const LoadClass &classOf(const CallerFlow &F) const {
     return Scenario_.Classes_[F.Class_];
   }
-  SteadyTime thinkUntil(const CallerFlow &F, SteadyTime Now);
-  std::string delayClass(const Pending &P) const {
-    return P.Once_ ? "once" : "repeatable";
+  SteadyTime nextRequestTime(const CallerFlow &F, SteadyTime Now);
+  std::string delayClass(const PendingRequest &P) const {
+    return P.AtMostOnce_ ? "once" : "repeatable";
   }
 
   asio::io_context &Context_;
@@ -125,19 +125,19 @@
   asio::steady_timer Timer_;
   std::vector<std::unique_ptr<UdpSocket>> Sockets_;
   std::vector<CallerFlow> Flows_;
-  std::unordered_map<std::uint64_t, std::size_t> ById_;
+  std::unordered_map<std::uint64_t, std::size_t> FlowIndexById_;
   Totals Totals_;
   DelayMetrics Delays_;
-  std::size_t Open_ = 0;
-  std::size_t Finished_ = 0;
+  std::size_t OpenFlows_ = 0;
+  std::size_t FinishedFlows_ = 0;
   std::int64_t SteadyAtMs_ = 0;
   SteadyTime HoldUntil_ = SteadyTime::max();
-  SteadyTime EndAt_ = SteadyTime::max();
+  SteadyTime StopAt_ = SteadyTime::max();
 };
 
 LoadRun::Impl::Impl(asio::io_context &Context, const Scenario &S)
     : Context_(Context), Scenario_(S), Random_(S.Seed_), Timer_(Context) {
-  Endpoint Local = S.Local_;
+  Endpoint Local = S.LocalAddress_;
   Local.Port_ = 0;
   for (std::uint32_t I = 0; I < S.Sockets_; ++I)
     Sockets_.push_back(std::make_unique<UdpSocket>(
@@ -156,13 +156,13 @@
   auto Gap = std::chrono::nanoseconds(1s) / S.OpensPerSecond_;
   for (std::size_t I = 0; I < Flows_.size(); ++I) {
     Flows_[I].Socket_ = Random_() % Sockets_.size();
-    Flows_[I].NextAt_ = Now + Gap * static_cast<long>(I);
+    Flows_[I].NextActionAt_ = Now + Gap * static_cast<long>(I);
   }
   schedule();
 }
 
 void LoadRun::Impl::schedule() {
-  Timer_.expires_after(TickEvery);
+  Timer_.expires_after(TickInterval);
   Timer_.async_wait([this](const asio::error_code &Error) {
     if (!Error)
       tick();
@@ -172,32 +172,32 @@
 void LoadRun::Impl::tick() {
   auto Now = std::chrono::steady_clock::now();
   for (CallerFlow &F : Flows_)
-    if (F.State_ != State::Done && Now >= F.NextAt_)
-      step(F, Now);
+    if (F.State_ != State::Done && Now >= F.NextActionAt_)
+      runDueAction(F, Now);
   for (CallerFlow &F : Flows_)
     if ((F.State_ == State::Idle || F.State_ == State::Requesting) &&
-        Now >= F.PingAt_)
+        Now >= F.NextPingAt_)
       sendPing(F, Now);
-  if (Finished_ == Flows_.size() && EndAt_ == SteadyTime::max())
-    EndAt_ = Now + DrainFor;
-  if (Now >= EndAt_)
+  if (FinishedFlows_ == Flows_.size() && StopAt_ == SteadyTime::max())
+    StopAt_ = Now + DrainTime;
+  if (Now >= StopAt_)
     return Context_.stop();
   schedule();
 }
 
-/// Does what is due at a flow's `NextAt_`.
-void LoadRun::Impl::step(CallerFlow &F, SteadyTime Now) {
+/// Does what is due at a flow's `NextActionAt_`.
+void LoadRun::Impl::runDueAction(CallerFlow &F, SteadyTime Now) {
   switch (F.State_) {
   case State::Waiting:
     return start(F, Now);
   case State::Opening:
     return sendOpen(F, Now);
   case State::Idle:
-    if (F.Requests_ < classOf(F).RequestsPerFlow_)
+    if (F.CompletedRequests_ < classOf(F).RequestsPerFlow_)
       return beginRequest(F, Now);
     if (Now >= HoldUntil_)
       return close(F);
-    F.NextAt_ = Now + ResendEvery;
+    F.NextActionAt_ = Now + ResendInterval;
     return;
   case State::Requesting:
     if (Now < F.Pending_.GiveUpAt_)
@@ -214,30 +214,31 @@
   F.Id_ = static_cast<FlowId>(Random_());
   F.Number_ = 0;
   F.PushesInOrder_ = 0;
-  ById_[raw(F.Id_)] = static_cast<std::size_t>(&F - Flows_.data());
+  FlowIndexById_[raw(F.Id_)] = static_cast<std::size_t>(&F - Flows_.data());
   F.State_ = State::Opening;
   sendOpen(F, Now);
 }
 
 void LoadRun::Impl::sendOpen(CallerFlow &F, SteadyTime Now) {
-  std::uint8_t Padding[OpenPadding] = {};
+  std::uint8_t Padding[OpenPaddingBytes] = {};
   Message M;
   M.Kind_ = Kind::Open;
   M.Payload_ = {Padding, sizeof Padding};
   send(F, M);
-  F.NextAt_ = Now + ResendEvery;
+  F.NextActionAt_ = Now + ResendInterval;
 }
 
 void LoadRun::Impl::beginRequest(CallerFlow &F, SteadyTime Now) {
   const LoadClass &C = classOf(F);
-  Pending P;
+  PendingRequest P;
   P.Id_ = Random_();
   P.Number_ = ++F.Number_;
-  P.Once_ = std::generate_canonical<double, 32>(Random_) < C.OnceShare_;
+  P.AtMostOnce_ =
+      std::generate_canonical<double, 32>(Random_) < C.AtMostOnceFraction_;
   P.Route_ = F.Route_;
   P.SentAt_ = Now;
-  P.GiveUpAt_ = Now + C.DeadlineAfter_ + GraceAfterDeadline;
-  P.Deadline_ = wallNow() + C.DeadlineAfter_;
+  P.GiveUpAt_ = Now + C.RequestTimeout_ + GraceAfterDeadline;
+  P.Deadline_ = wallNow() + C.RequestTimeout_;
   F.Pending_ = P;
   F.State_ = State::Requesting;
   ++Totals_.Requests_;
@@ -245,19 +246,19 @@
 }
 
 void LoadRun::Impl::sendRequest(CallerFlow &F, SteadyTime Now) {
-  const Pending &P = F.Pending_;
+  const PendingRequest &P = F.Pending_;
   std::uint8_t Body[AppPayloadSize];
   const LoadClass &C = classOf(F);
   write({P.Id_, nameId(C.Service_), C.Parts_}, Body);
   Message M;
   M.Kind_ = Kind::Request;
   M.Request_ = P.Number_;
-  M.Flags_ = P.Once_ ? 0 : FlagRepeatable;
+  M.Flags_ = P.AtMostOnce_ ? 0 : FlagRepeatable;
   M.Deadline_ = P.Deadline_;
   M.Route_ = P.Route_.bytes();
   M.Payload_ = {Body, sizeof Body};
   send(F, M);
-  F.NextAt_ = Now + ResendEvery;
+  F.NextActionAt_ = Now + ResendInterval;
 }
 
 void LoadRun::Impl::sendPing(CallerFlow &F, SteadyTime Now) {
@@ -266,7 +267,7 @@
   M.Request_ = F.PushesInOrder_;
   M.Route_ = F.Route_.bytes();
   send(F, M);
-  F.PingAt_ = Now + PingEvery;
+  F.NextPingAt_ = Now + PingInterval;
 }
 
 void LoadRun::Impl::close(CallerFlow &F) {
@@ -275,36 +276,36 @@
   M.Route_ = F.Route_.bytes();
   send(F, M);
   F.State_ = State::Done;
-  ++Finished_;
+  ++FinishedFlows_;
 }
 
 void LoadRun::Impl::send(CallerFlow &F, Message &M) {
   M.Flow_ = F.Id_;
   std::uint8_t Buffer[MaxDatagram + MaxHeader];
   std::size_t Size = encode(M, Buffer, sizeof Buffer);
-  Sockets_[F.Socket_]->send(classOf(F).At_, Buffer, Size);
+  Sockets_[F.Socket_]->send(classOf(F).ServiceAddress_, Buffer, Size);
 }
 
-SteadyTime LoadRun::Impl::thinkUntil(const CallerFlow &F, SteadyTime Now) {
+SteadyTime LoadRun::Impl::nextRequestTime(const CallerFlow &F, SteadyTime Now) {
   std::exponential_distribution<double> Spread(1);
-  auto Think = classOf(F).ThinkFor_ * std::min(Spread(Random_), 4.0);
+  auto Think = classOf(F).MeanThinkTime_ * std::min(Spread(Random_), 4.0);
   return Now + std::chrono::duration_cast<std::chrono::nanoseconds>(Think);
 }
 
 void LoadRun::Impl::finishRequest(CallerFlow &F) {
   F.State_ = State::Idle;
-  ++F.Requests_;
-  F.NextAt_ = thinkUntil(F, std::chrono::steady_clock::now());
+  ++F.CompletedRequests_;
+  F.NextActionAt_ = nextRequestTime(F, std::chrono::steady_clock::now());
 }
 
 void LoadRun::Impl::receive(const std::uint8_t *Data, std::size_t Size) {
   Message M;
   if (decode(Data, Size, M) != ErrorKind::None)
     return;
-  auto Known = ById_.find(raw(M.Flow_));
-  if (Known == ById_.end())
+  auto Found = FlowIndexById_.find(raw(M.Flow_));
+  if (Found == FlowIndexById_.end())
     return;
-  CallerFlow &F = Flows_[Known->second];
+  CallerFlow &F = Flows_[Found->second];
   if (F.State_ == State::Done)
     return;
   switch (M.Kind_) {
@@ -319,7 +320,7 @@
   case Kind::Push:
     return onPush(F, M);
   case Kind::Moved:
-    return keep(F.Route_, M.Route_);
+    return storeRoute(F.Route_, M.Route_);
   default:
     return;
   }
@@ -330,22 +331,22 @@
   if (F.State_ != State::Opening)
     return;
   auto Now = std::chrono::steady_clock::now();
-  keep(F.Route_, M.Route_);
+  storeRoute(F.Route_, M.Route_);
   F.State_ = State::Idle;
-  auto Spread = PingEvery * std::generate_canonical<double, 32>(Random_);
-  F.PingAt_ =
+  auto Spread = PingInterval * std::generate_canonical<double, 32>(Random_);
+  F.NextPingAt_ =
       Now + std::chrono::duration_cast<std::chrono::nanoseconds>(Spread);
-  F.NextAt_ = thinkUntil(F, Now);
-  if (++Open_ < Flows_.size() || SteadyAtMs_ != 0)
+  F.NextActionAt_ = nextRequestTime(F, Now);
+  if (++OpenFlows_ < Flows_.size() || SteadyAtMs_ != 0)
     return;
-  HoldUntil_ = Now + Scenario_.HoldFor_;
+  HoldUntil_ = Now + Scenario_.MinHoldTime_;
   SteadyAtMs_ = std::chrono::duration_cast<std::chrono::milliseconds>(
                     wallNow().time_since_epoch())
                     .count();
 }
 
 void LoadRun::Impl::onAnswer(CallerFlow &F, const Message &M) {
-  Pending &P = F.Pending_;
+  PendingRequest &P = F.Pending_;
   if (F.State_ != State::Requesting || M.Request_ != P.Number_)
     return;
   AppPayload Body = readAppPayload(M.Payload_);
@@ -355,12 +356,12 @@
     ++Totals_.MixedParts_;
   std::uint64_t &Seen = P.PartsSeen_[M.Attempt_];
   Seen |= std::uint64_t{1} << M.Part_;
-  keep(F.Route_, M.Route_);
+  storeRoute(F.Route_, M.Route_);
   if (Seen != allParts(M.Parts_))
     return;
   ++Totals_.Answered_;
-  if (P.Once_)
-    Totals_.AnsweredOnce_.push_back(P.Id_);
+  if (P.AtMostOnce_)
+    Totals_.AnsweredAtMostOnce_.push_back(P.Id_);
   Delays_.record(classOf(F).Service_, delayClass(P),
                  std::chrono::duration_cast<Micros>(
                      std::chrono::steady_clock::now() - P.SentAt_));
@@ -368,54 +369,55 @@
 }
 
 /// Counts a final answer other than a whole one.
-void LoadRun::Impl::noteNotCompleted(CallerFlow &F, const Message &M) {
-  const Pending &P = F.Pending_;
+void LoadRun::Impl::recordNotCompleted(CallerFlow &F, const Message &M) {
+  const PendingRequest &P = F.Pending_;
   bool NotRun = (M.Flags_ & FlagNotRun) != 0;
   ++(NotRun ? Totals_.NotRun_ : Totals_.OutcomeUnknown_);
-  if (NotRun && P.Once_)
-    Totals_.NotRunOnce_.push_back(P.Id_);
+  if (NotRun && P.AtMostOnce_)
+    Totals_.NotRunAtMostOnce_.push_back(P.Id_);
   finishRequest(F);
 }
 
 void LoadRun::Impl::onRefused(CallerFlow &F, const Message &M) {
   auto Now = std::chrono::steady_clock::now();
-  auto Pause = std::max(M.RetryAt_ - wallNow(), Micros{0});
+  auto Delay = std::max(M.RetryAt_ - wallNow(), Micros{0});
   if (M.Request_ == 0) {
     if (F.State_ != State::Opening)
       return;
     ++Totals_.OpensRefused_;
-    return reopen(F, Now + Pause);
+    return reopen(F, Now + Delay);
   }
   if (F.State_ != State::Requesting || M.Request_ != F.Pending_.Number_)
     return;
-  keep(F.Route_, M.Route_);
-  noteNotCompleted(F, M);
-  F.NextAt_ = std::max(F.NextAt_, Now + Pause);
+  storeRoute(F.Route_, M.Route_);
+  recordNotCompleted(F, M);
+  F.NextActionAt_ = std::max(F.NextActionAt_, Now + Delay);
   if (M.Reason_ != ErrorKind::FlowUnknown)
     return;
   ++Totals_.BrokenFlows_;
-  --Open_;
+  --OpenFlows_;
   reopen(F, Now);
 }
 
 void LoadRun::Impl::onReset(CallerFlow &F, const Message &M) {
   auto Now = std::chrono::steady_clock::now();
   if (F.State_ == State::Opening)
-    return reopen(F, Now + ResendEvery);
-  bool Mine = F.State_ == State::Requesting && M.Request_ == F.Pending_.Number_;
-  if (M.Request_ != 0 && !Mine)
+    return reopen(F, Now + ResendInterval);
+  bool IsCurrent =
+      F.State_ == State::Requesting && M.Request_ == F.Pending_.Number_;
+  if (M.Request_ != 0 && !IsCurrent)
     return;
   ++Totals_.BrokenFlows_;
-  --Open_;
+  --OpenFlows_;
   if (F.State_ == State::Requesting)
-    noteNotCompleted(F, M);
+    recordNotCompleted(F, M);
   reopen(F, Now);
 }
 
 void LoadRun::Impl::reopen(CallerFlow &F, SteadyTime At) {
-  ById_.erase(raw(F.Id_));
+  FlowIndexById_.erase(raw(F.Id_));
   F.State_ = State::Waiting;
-  F.NextAt_ = At;
+  F.NextActionAt_ = At;
 }
 
 void LoadRun::Impl::onPush(CallerFlow &F, const Message &M) {
@@ -439,8 +441,8 @@
                       {"mixed_parts", T.MixedParts_},
                       {"pushes", T.Pushes_},
                       {"steady_at_ms", SteadyAtMs_},
-                      {"answered_once", T.AnsweredOnce_},
-                      {"not_run_once", T.NotRunOnce_},
+                      {"answered_once", T.AnsweredAtMostOnce_},
+                      {"not_run_once", T.NotRunAtMostOnce_},
                       {"delays", nlohmann::json::parse(Delays_.json())}};
   return J.dump();
 }
--- a/src/load-scenario.cc
+++ b/src/load-scenario.cc
@@ -11,8 +11,8 @@
 using std::chrono::milliseconds;
 
 template <typename T>
-T whole(ObjectReader &Reader, const char *Key, std::int64_t Default,
-        std::int64_t Min, std::int64_t Max) {
+T integerAs(ObjectReader &Reader, const char *Key, std::int64_t Default,
+            std::int64_t Min, std::int64_t Max) {
   return static_cast<T>(Reader.integerOr(Key, Default, Min, Max));
 }
 
@@ -21,16 +21,16 @@
   ObjectReader Reader(Object, Path, Found);
   LoadClass C;
   C.Service_ = Reader.string("service");
-  C.At_ = Reader.endpoint("at");
-  C.Flows_ = whole<std::uint32_t>(Reader, "flows", 100, 1, 1'000'000);
+  C.ServiceAddress_ = Reader.endpoint("at");
+  C.Flows_ = integerAs<std::uint32_t>(Reader, "flows", 100, 1, 1'000'000);
   C.RequestsPerFlow_ =
-      whole<std::uint32_t>(Reader, "requests_per_flow", 10, 0, 1'000'000);
-  C.OnceShare_ = Reader.numberOr("once_share", 0, 0, 1);
-  C.Parts_ = whole<std::uint16_t>(Reader, "parts", 1, 1, MaxParts);
-  C.ThinkFor_ =
-      milliseconds(whole<std::int64_t>(Reader, "think_ms", 100, 0, 600'000));
-  C.DeadlineAfter_ =
-      milliseconds(whole<std::int64_t>(Reader, "deadline_ms", 2000, 1, 60'000));
+      integerAs<std::uint32_t>(Reader, "requests_per_flow", 10, 0, 1'000'000);
+  C.AtMostOnceFraction_ = Reader.numberOr("once_share", 0, 0, 1);
+  C.Parts_ = integerAs<std::uint16_t>(Reader, "parts", 1, 1, MaxParts);
+  C.MeanThinkTime_ = milliseconds(
+      integerAs<std::int64_t>(Reader, "think_ms", 100, 0, 600'000));
+  C.RequestTimeout_ = milliseconds(
+      integerAs<std::int64_t>(Reader, "deadline_ms", 2000, 1, 60'000));
   Reader.finish();
   return C;
 }
@@ -45,13 +45,13 @@
     return boost::leaf::new_error(Found.all());
   ObjectReader Reader(Root, "", Found);
   Scenario S;
-  S.Local_ = Reader.endpoint("local");
-  S.Sockets_ = whole<std::uint32_t>(Reader, "sockets", 16, 1, 4096);
+  S.LocalAddress_ = Reader.endpoint("local");
+  S.Sockets_ = integerAs<std::uint32_t>(Reader, "sockets", 16, 1, 4096);
   S.OpensPerSecond_ =
-      whole<std::uint32_t>(Reader, "opens_per_second", 1000, 1, 1'000'000);
-  S.HoldFor_ =
-      milliseconds(whole<std::int64_t>(Reader, "hold_ms", 0, 0, 3'600'000));
-  S.Seed_ = whole<std::uint64_t>(Reader, "seed", 1, 0, INT64_MAX);
+      integerAs<std::uint32_t>(Reader, "opens_per_second", 1000, 1, 1'000'000);
+  S.MinHoldTime_ =
+      milliseconds(integerAs<std::int64_t>(Reader, "hold_ms", 0, 0, 3'600'000));
+  S.Seed_ = integerAs<std::uint64_t>(Reader, "seed", 1, 0, INT64_MAX);
   const Json &Classes = Reader.array("classes");
   for (std::size_t I = 0; I < Classes.size(); ++I)
     S.Classes_.push_back(
--- a/src/load-scenario.h
+++ b/src/load-scenario.h
@@ -11,21 +11,22 @@
 /// Flows of one service and what they ask for.
 struct LoadClass {
   std::string Service_;
-  Endpoint At_; ///< Of the fabric.
+  Endpoint ServiceAddress_; ///< Of the fabric.
   std::uint32_t Flows_ = 0;
   std::uint32_t RequestsPerFlow_ = 0;
-  double OnceShare_ = 0; ///< Share of requests that may not be repeated.
+  double AtMostOnceFraction_ =
+      0; ///< Share of requests that may not be repeated.
   std::uint16_t Parts_ = 1;
-  Micros ThinkFor_{}; ///< Mean pause between a flow's requests.
-  Micros DeadlineAfter_{};
+  Micros MeanThinkTime_{}; ///< Mean pause between a flow's requests.
+  Micros RequestTimeout_{};
 };
 
 struct Scenario {
   std::uint32_t Sockets_ = 0;
   std::uint32_t OpensPerSecond_ = 0;
-  Micros HoldFor_{}; ///< Least time from the last open to the first close.
+  Micros MinHoldTime_{}; ///< Least time from the last open to the first close.
   std::uint64_t Seed_ = 0;
-  Endpoint Local_; ///< Callers' address; the port is unused.
+  Endpoint LocalAddress_; ///< Callers' address; the port is unused.
   std::vector<LoadClass> Classes_;
 };
 
--- a/src/log.cc
+++ b/src/log.cc
@@ -22,39 +22,39 @@
 namespace sinks = boost::log::sinks;
 
 /// Held for a reader that is slow; a few seconds of the budget.
-constexpr std::size_t MaxHeld = 64 * 1024;
+constexpr std::size_t MaxBufferedBytes = 64 * 1024;
 /// A pipe that reports room takes this much at once without blocking.
-constexpr std::size_t MaxWrite = 4096;
+constexpr std::size_t MaxWriteBytes = 4096;
 
 /// Holds whole lines and writes them as far as standard output takes them.
-class Writer {
+class OutputBuffer {
 public:
-  void hold(const std::string &Line) {
-    if (Held_.size() + Line.size() + 1 > MaxHeld) {
+  void append(const std::string &Line) {
+    if (Buffer_.size() + Line.size() + 1 > MaxBufferedBytes) {
       ++Dropped_;
       return;
     }
-    Held_ += Line;
-    Held_ += '\n';
+    Buffer_ += Line;
+    Buffer_ += '\n';
   }
 
-  void write() {
-    while (!Held_.empty()) {
+  void flush() {
+    while (!Buffer_.empty()) {
       pollfd Output{STDOUT_FILENO, POLLOUT, 0};
       if (poll(&Output, 1, 0) != 1 || (Output.revents & POLLOUT) == 0)
         return;
-      ssize_t Written = ::write(STDOUT_FILENO, Held_.data(),
-                                std::min(Held_.size(), MaxWrite));
+      ssize_t Written = ::write(STDOUT_FILENO, Buffer_.data(),
+                                std::min(Buffer_.size(), MaxWriteBytes));
       if (Written <= 0)
         return;
-      Held_.erase(0, static_cast<std::size_t>(Written));
+      Buffer_.erase(0, static_cast<std::size_t>(Written));
     }
   }
 
   std::uint64_t dropped() const { return Dropped_; }
 
 private:
-  std::string Held_;
+  std::string Buffer_;
   std::uint64_t Dropped_ = 0;
 };
 
@@ -63,35 +63,35 @@
     : public sinks::basic_formatted_sink_backend<char,
                                                  sinks::concurrent_feeding> {
 public:
-  explicit LineBackend(Writer &Output) : Output_(Output) {}
+  explicit LineBackend(OutputBuffer &Output) : Output_(Output) {}
   void consume(const boost::log::record_view &, const string_type &Line) {
-    Output_.hold(Line);
+    Output_.append(Line);
   }
 
 private:
-  Writer &Output_;
+  OutputBuffer &Output_;
 };
 
 /// Everything that belongs to the one log of a process. All lines come from the
 /// thread of the process's event loop.
 struct ProcessLog {
   std::string Process_;
-  Writer Writer_;
-  LogRateLimiter Budget_;
+  OutputBuffer Output_;
+  LogRateLimiter Limiter_;
   boost::log::sources::logger Logger_;
   std::uint64_t DroppedTotal_ = 0;
-  std::uint64_t WriterDroppedTold_ = 0;
+  std::uint64_t ReportedOutputDropped_ = 0;
 };
 
 ProcessLog &processLog() {
-  static ProcessLog Log;
-  return Log;
+  static ProcessLog State;
+  return State;
 }
 
-void line(std::string_view Event, const LogFields &Fields) {
-  ProcessLog &Log = processLog();
-  BOOST_LOG(Log.Logger_) << formatLogLine(detail::wallNow(), Log.Process_,
-                                          Event, Fields);
+void writeLine(std::string_view Event, const LogFields &Fields) {
+  ProcessLog &State = processLog();
+  BOOST_LOG(State.Logger_) << formatLogLine(detail::wallNow(), State.Process_,
+                                            Event, Fields);
 }
 
 } // namespace
@@ -113,14 +113,14 @@
 }
 
 bool LogRateLimiter::allow(MonoTime Now) {
-  double Seconds = std::chrono::duration<double>(Now - Last_).count();
-  Last_ = Now;
-  Left_ = std::min<double>(Left_ + Seconds * LinesPerSecond, Burst);
-  if (Left_ < 1) {
+  double Seconds = std::chrono::duration<double>(Now - LastRefill_).count();
+  LastRefill_ = Now;
+  Tokens_ = std::min<double>(Tokens_ + Seconds * LinesPerSecond, Burst);
+  if (Tokens_ < 1) {
     ++Dropped_;
     return false;
   }
-  Left_ -= 1;
+  Tokens_ -= 1;
   return true;
 }
 
@@ -129,9 +129,9 @@
 }
 
 void startLog(const std::string &Process) {
-  ProcessLog &Log = processLog();
-  Log.Process_ = Process;
-  auto Backend = boost::make_shared<LineBackend>(Log.Writer_);
+  ProcessLog &State = processLog();
+  State.Process_ = Process;
+  auto Backend = boost::make_shared<LineBackend>(State.Output_);
   using Frontend = sinks::unlocked_sink<LineBackend>;
   auto Sink = boost::make_shared<Frontend>(Backend);
   Sink->set_formatter(boost::log::expressions::stream
@@ -140,24 +140,25 @@
 }
 
 void logState(std::string_view Event, const LogFields &Fields) {
-  line(Event, Fields);
-  processLog().Writer_.write();
+  writeLine(Event, Fields);
+  processLog().Output_.flush();
 }
 
 void logRateLimited(std::string_view Event, const LogFields &Fields) {
-  if (processLog().Budget_.allow(detail::monoNow()))
-    line(Event, Fields);
+  if (processLog().Limiter_.allow(detail::monoNow()))
+    writeLine(Event, Fields);
 }
 
 void flushLog() {
-  ProcessLog &Log = processLog();
-  std::uint64_t Writer = Log.Writer_.dropped() - Log.WriterDroppedTold_;
-  std::uint64_t Dropped = Log.Budget_.takeDroppedCount() + Writer;
-  Log.WriterDroppedTold_ += Writer;
-  Log.DroppedTotal_ += Dropped;
+  ProcessLog &State = processLog();
+  std::uint64_t OutputDropped =
+      State.Output_.dropped() - State.ReportedOutputDropped_;
+  std::uint64_t Dropped = State.Limiter_.takeDroppedCount() + OutputDropped;
+  State.ReportedOutputDropped_ += OutputDropped;
+  State.DroppedTotal_ += Dropped;
   if (Dropped > 0)
-    line("log_lines_dropped", {{"count", Dropped}});
-  Log.Writer_.write();
+    writeLine("log_lines_dropped", {{"count", Dropped}});
+  State.Output_.flush();
 }
 
 std::uint64_t droppedLogLineCount() { return processLog().DroppedTotal_; }
--- a/src/metrics.cc
+++ b/src/metrics.cc
@@ -32,12 +32,12 @@
   std::uint64_t SumMicros_ = 0;
 };
 
-Micros quantileOf(const Delays &D, double Share) {
-  double Below = 0;
-  auto Wanted = Share * static_cast<double>(D.Count_);
+Micros quantileOf(const Delays &D, double Fraction) {
+  double Cumulative = 0;
+  auto Target = Fraction * static_cast<double>(D.Count_);
   for (auto &&Bin : bh::indexed(D.Histogram_, bh::coverage::all)) {
-    Below += static_cast<double>(*Bin);
-    if (D.Count_ != 0 && Below >= Wanted && Below > 0)
+    Cumulative += static_cast<double>(*Bin);
+    if (D.Count_ != 0 && Cumulative >= Target && Cumulative > 0)
       return Micros(static_cast<std::int64_t>(
           std::min(Bin.bin().upper(), HighestMicros)));
   }
@@ -48,12 +48,12 @@
 
 class DelayMetrics::Impl {
 public:
-  std::map<Key, Delays> All_;
+  std::map<Key, Delays> Delays_;
 
   const Delays *find(const std::string &Tenant,
                      const std::string &Class) const {
-    auto Known = All_.find({Tenant, Class});
-    return Known == All_.end() ? nullptr : &Known->second;
+    auto Found = Delays_.find({Tenant, Class});
+    return Found == Delays_.end() ? nullptr : &Found->second;
   }
 };
 
@@ -64,7 +64,7 @@
 
 void DelayMetrics::record(const std::string &Tenant, const std::string &Class,
                           Micros Delay) {
-  Delays &D = Impl_->All_[{Tenant, Class}];
+  Delays &D = Impl_->Delays_[{Tenant, Class}];
   auto Value = std::max<std::int64_t>(Delay.count(), 1);
   D.Histogram_(static_cast<double>(Value));
   ++D.Count_;
@@ -78,14 +78,14 @@
 }
 
 Micros DelayMetrics::quantile(const std::string &Tenant,
-                              const std::string &Class, double Share) const {
+                              const std::string &Class, double Fraction) const {
   const Delays *D = Impl_->find(Tenant, Class);
-  return D ? quantileOf(*D, Share) : Micros{0};
+  return D ? quantileOf(*D, Fraction) : Micros{0};
 }
 
 std::string DelayMetrics::json() const {
   nlohmann::json Result = nlohmann::json::object();
-  for (const auto &[Name, D] : Impl_->All_) {
+  for (const auto &[Name, D] : Impl_->Delays_) {
     nlohmann::json Bins = nlohmann::json::array();
     for (auto &&Bin : bh::indexed(D.Histogram_))
       if (*Bin != 0)
@@ -101,17 +101,17 @@
 
 std::string DelayMetrics::prometheus(const std::string &Name) const {
   std::string Text = "# TYPE " + Name + " histogram\n";
-  for (const auto &[Which, D] : Impl_->All_) {
+  for (const auto &[Key, D] : Impl_->Delays_) {
     std::string Labels =
-        "tenant=\"" + Which.first + "\",class=\"" + Which.second + "\"";
-    std::uint64_t Below = 0;
+        "tenant=\"" + Key.first + "\",class=\"" + Key.second + "\"";
+    std::uint64_t Cumulative = 0;
     for (auto &&Bin : bh::indexed(D.Histogram_, bh::coverage::all)) {
       auto InBin = static_cast<std::uint64_t>(*Bin);
-      Below += InBin;
+      Cumulative += InBin;
       if (InBin != 0 && std::isfinite(Bin.bin().upper()))
         Text += Name + "_bucket{" + Labels + ",le=\"" +
                 std::to_string(Bin.bin().upper() / 1e6) + "\"} " +
-                std::to_string(Below) + "\n";
+                std::to_string(Cumulative) + "\n";
     }
     Text += Name + "_bucket{" + Labels + ",le=\"+Inf\"} " +
             std::to_string(D.Count_) + "\n";
--- a/src/udp-socket.cc
+++ b/src/udp-socket.cc
@@ -7,28 +7,28 @@
 
 namespace {
 
-bool isV4(const Endpoint &Where) {
-  return Where.Address_[10] == 0xff && Where.Address_[11] == 0xff &&
-         std::all_of(Where.Address_.begin(), Where.Address_.begin() + 10,
+bool isV4(const Endpoint &Address) {
+  return Address.Address_[10] == 0xff && Address.Address_[11] == 0xff &&
+         std::all_of(Address.Address_.begin(), Address.Address_.begin() + 10,
                      [](std::uint8_t Byte) { return Byte == 0; });
 }
 
 } // namespace
 
-asio::ip::udp::endpoint toAsio(const Endpoint &Where) {
-  if (!isV4(Where))
-    return {asio::ip::address_v6(Where.Address_), Where.Port_};
-  asio::ip::address_v4::bytes_type Four;
-  std::copy_n(Where.Address_.begin() + 12, 4, Four.begin());
-  return {asio::ip::address_v4(Four), Where.Port_};
+asio::ip::udp::endpoint toAsio(const Endpoint &Address) {
+  if (!isV4(Address))
+    return {asio::ip::address_v6(Address.Address_), Address.Port_};
+  asio::ip::address_v4::bytes_type V4Bytes;
+  std::copy_n(Address.Address_.begin() + 12, 4, V4Bytes.begin());
+  return {asio::ip::address_v4(V4Bytes), Address.Port_};
 }
 
-Endpoint fromAsio(const asio::ip::udp::endpoint &Where) {
-  if (Where.address().is_v4())
-    return Endpoint::v4(Where.address().to_v4().to_uint(), Where.port());
+Endpoint fromAsio(const asio::ip::udp::endpoint &Address) {
+  if (Address.address().is_v4())
+    return Endpoint::v4(Address.address().to_v4().to_uint(), Address.port());
   Endpoint Result;
-  Result.Address_ = Where.address().to_v6().to_bytes();
-  Result.Port_ = Where.port();
+  Result.Address_ = Address.address().to_v6().to_bytes();
+  Result.Port_ = Address.port();
   return Result;
 }
 
@@ -36,27 +36,28 @@
                      ReceiveHandler OnReceive)
     : Socket_(Context, toAsio(Local)), OnReceive_(std::move(OnReceive)) {
   asio::error_code Ignored;
-  Socket_.set_option(asio::socket_base::receive_buffer_size(BufferBytes),
+  Socket_.set_option(asio::socket_base::receive_buffer_size(SocketBufferBytes),
+                     Ignored);
+  Socket_.set_option(asio::socket_base::send_buffer_size(SocketBufferBytes),
                      Ignored);
-  Socket_.set_option(asio::socket_base::send_buffer_size(BufferBytes), Ignored);
   Socket_.non_blocking(true);
-  wait();
+  waitReadable();
 }
 
-void UdpSocket::wait() {
+void UdpSocket::waitReadable() {
   Socket_.async_wait(asio::ip::udp::socket::wait_read,
                      [this](const asio::error_code &Error) {
                        if (Error)
                          return;
                        receiveBurst();
                        if (Socket_.is_open())
-                         wait();
+                         waitReadable();
                      });
 }
 
 void UdpSocket::receiveBurst() {
-  std::uint8_t Buffer[MaxSize];
-  for (int I = 0; I < MaxBurst && Socket_.is_open(); ++I) {
+  std::uint8_t Buffer[MaxDatagramBytes];
+  for (int I = 0; I < MaxDatagramsPerWakeup && Socket_.is_open(); ++I) {
     asio::ip::udp::endpoint From;
     asio::error_code Error;
     std::size_t Size =
@@ -74,7 +75,9 @@
   Socket_.send_to(asio::buffer(Data, Size), toAsio(To), 0, Ignored);
 }
 
-Endpoint UdpSocket::local() const { return fromAsio(Socket_.local_endpoint()); }
+Endpoint UdpSocket::localEndpoint() const {
+  return fromAsio(Socket_.local_endpoint());
+}
 
 void UdpSocket::close() {
   asio::error_code Ignored;
--- a/src/udp-socket.h
+++ b/src/udp-socket.h
@@ -11,8 +11,8 @@
 
 namespace thymewall::detail {
 
-asio::ip::udp::endpoint toAsio(const Endpoint &Where);
-Endpoint fromAsio(const asio::ip::udp::endpoint &Where);
+asio::ip::udp::endpoint toAsio(const Endpoint &Address);
+Endpoint fromAsio(const asio::ip::udp::endpoint &Address);
 
 class UdpSocket {
 public:
@@ -25,15 +25,15 @@
 
   /// Sends at once or drops: datagrams may be lost anyway.
   void send(const Endpoint &To, const std::uint8_t *Data, std::size_t Size);
-  Endpoint local() const;
+  Endpoint localEndpoint() const;
   void close();
 
 private:
-  static constexpr int BufferBytes = 4 << 20;
-  static constexpr int MaxBurst = 64;
-  static constexpr std::size_t MaxSize = 4096;
+  static constexpr int SocketBufferBytes = 4 << 20;
+  static constexpr int MaxDatagramsPerWakeup = 64;
+  static constexpr std::size_t MaxDatagramBytes = 4096;
 
-  void wait();
+  void waitReadable();
   void receiveBurst();
 
   asio::ip::udp::socket Socket_;
--- a/test/http-test.cc
+++ b/test/http-test.cc
@@ -51,7 +51,7 @@
         *Socket, asio::dynamic_buffer(*Request), "\r\n\r\n",
         [this, Socket, Request](const asio::error_code &Error, std::size_t) {
           if (Error || Next_ == Script_.size()) {
-            Silent_.push_back(Socket);
+            Unanswered_.push_back(Socket);
             return;
           }
           auto Text = std::make_shared<std::string>(Script_[Next_++]);
@@ -90,7 +90,7 @@
 
   tcp::acceptor Acceptor_;
   std::vector<std::string> Script_;
-  std::vector<std::shared_ptr<tcp::socket>> Silent_;
+  std::vector<std::shared_ptr<tcp::socket>> Unanswered_;
   std::size_t Next_ = 0;
   int Connections_ = 0;
 };
@@ -101,8 +101,8 @@
 }
 
 /// What came of calls, one after the other: "200 body" or "failed".
-std::vector<std::string> calls(asio::io_context &Context, const Endpoint &At,
-                               int Count) {
+std::vector<std::string> sendRequests(asio::io_context &Context,
+                                      const Endpoint &At, int Count) {
   HttpClient Client(Context, At);
   std::vector<std::string> Results;
   std::function<void()> Call = [&] {
@@ -126,15 +126,15 @@
 using Strings = std::vector<std::string>;
 
 /// What a server answers to raw bytes, sent in the given pieces.
-std::string exchange(const HttpServer::RequestHandler &Pages,
-                     const Strings &Pieces) {
+std::string sendRaw(const HttpServer::RequestHandler &Handler,
+                    const Strings &Pieces) {
   asio::io_context Context;
   tcp::acceptor Free(Context, {asio::ip::address_v4::loopback(), 0});
   std::uint16_t Port = Free.local_endpoint().port();
   Free.close();
-  HttpServer Server(Context, Endpoint::v4(0x7f000001, Port), Pages);
+  HttpServer Server(Context, Endpoint::v4(0x7f000001, Port), Handler);
   tcp::socket Client(Context);
-  std::string Got;
+  std::string Received;
   std::array<char, 4096> Buffer{};
   std::size_t Sent = 0;
   std::function<void()> Send = [&] {
@@ -146,8 +146,8 @@
   std::function<void()> Read = [&] {
     Client.async_read_some(asio::buffer(Buffer),
                            [&](const asio::error_code &E, std::size_t Size) {
-                             Got.append(Buffer.data(), Size);
-                             if (E || Got.find("END") != std::string::npos)
+                             Received.append(Buffer.data(), Size);
+                             if (E || Received.find("END") != std::string::npos)
                                return Context.stop();
                              Read();
                            });
@@ -159,10 +159,10 @@
                          Read();
                        });
   Context.run();
-  return Got;
+  return Received;
 }
 
-void pages(const std::string &Target, const HttpServer::Reply &Answer) {
+void handlePage(const std::string &Target, const HttpServer::Reply &Answer) {
   bool Known = pathOf(Target) == "/known";
   Answer({Known ? 200U : 404U, "text/plain", "END"});
 }
@@ -171,18 +171,20 @@
 
 TEST_CASE("an answer that keeps coming may take longer than its deadline") {
   asio::io_context Context;
-  std::string Slow = ok("whole");
-  Slow.insert(Slow.size() - 2, "\f"); // 400 ms; the deadline is after 300 ms
-  ScriptedServer Server(Context, {Slow, ok("next")});
-  CHECK(calls(Context, Server.at(), 2) == Strings{"200 whole", "200 next"});
+  std::string SlowResponse = ok("whole");
+  SlowResponse.insert(SlowResponse.size() - 2,
+                      "\f"); // 400 ms; the deadline is after 300 ms
+  ScriptedServer Server(Context, {SlowResponse, ok("next")});
+  CHECK(sendRequests(Context, Server.at(), 2) ==
+        Strings{"200 whole", "200 next"});
 }
 
 TEST_CASE("an answer that stops coming fails") {
   asio::io_context Context;
-  std::string Half = ok("whole");
-  Half.resize(Half.size() - 2);
-  ScriptedServer Server(Context, {Half, ok("next")});
-  CHECK(calls(Context, Server.at(), 2) == Strings{"failed", "200 next"});
+  std::string HalfResponse = ok("whole");
+  HalfResponse.resize(HalfResponse.size() - 2);
+  ScriptedServer Server(Context, {HalfResponse, ok("next")});
+  CHECK(sendRequests(Context, Server.at(), 2) == Strings{"failed", "200 next"});
 }
 
 TEST_CASE(
@@ -190,10 +192,11 @@
     "answer, is left for a new one") {
   // As between two pages of a list: each call has a deadline of its own.
   asio::io_context Context;
-  std::string Silent = ok("");
-  Silent.resize(10);
-  ScriptedServer Server(Context, {ok("page 1"), Silent, ok("page 1"), ok("2")});
-  CHECK(calls(Context, Server.at(), 4) ==
+  std::string PartialResponse = ok("");
+  PartialResponse.resize(10);
+  ScriptedServer Server(Context,
+                        {ok("page 1"), PartialResponse, ok("page 1"), ok("2")});
+  CHECK(sendRequests(Context, Server.at(), 4) ==
         Strings{"200 page 1", "failed", "200 page 1", "200 2"});
   CHECK(Server.connections() == 2);
 }
@@ -201,7 +204,8 @@
 TEST_CASE("calls share a connection as long as it holds") {
   asio::io_context Context;
   ScriptedServer Server(Context, {ok("a"), ok("b"), ok("c")});
-  CHECK(calls(Context, Server.at(), 3) == Strings{"200 a", "200 b", "200 c"});
+  CHECK(sendRequests(Context, Server.at(), 3) ==
+        Strings{"200 a", "200 b", "200 c"});
   CHECK(Server.connections() == 1);
 }
 
@@ -209,7 +213,7 @@
   asio::io_context Context;
   ScriptedServer Server(
       Context, {"HTTP/1.1 429 Too Many\r\nContent-Length: 0\r\n\r\n", ok("b")});
-  CHECK(calls(Context, Server.at(), 2) == Strings{"429 ", "200 b"});
+  CHECK(sendRequests(Context, Server.at(), 2) == Strings{"429 ", "200 b"});
 }
 
 TEST_CASE("a body in chunks") {
@@ -217,7 +221,7 @@
   ScriptedServer Server(Context,
                         {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
                          "3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n"});
-  CHECK(calls(Context, Server.at(), 1) == Strings{"200 abcde"});
+  CHECK(sendRequests(Context, Server.at(), 1) == Strings{"200 abcde"});
 }
 
 TEST_CASE("after a failure the next call takes a new connection") {
@@ -229,26 +233,27 @@
   SUBCASE("no HTTP") { First = "what is this\r\n\r\n"; }
   asio::io_context Context;
   ScriptedServer Server(Context, {First, ok("b")});
-  CHECK(calls(Context, Server.at(), 2) == Strings{"failed", "200 b"});
+  CHECK(sendRequests(Context, Server.at(), 2) == Strings{"failed", "200 b"});
   CHECK(Server.connections() == 2);
 }
 
 TEST_CASE("silence ends a call at its deadline") {
   asio::io_context Context;
   ScriptedServer Server(Context, {});
-  CHECK(calls(Context, Server.at(), 1) == Strings{"failed"});
+  CHECK(sendRequests(Context, Server.at(), 1) == Strings{"failed"});
 }
 
 TEST_CASE("a server answers requests in pieces, and unknown ones") {
-  CHECK(exchange(pages, {"GET /kno", "wn?a=b HTTP/1.1\r\nHo", "st: x\r\n\r\n"})
+  CHECK(sendRaw(handlePage,
+                {"GET /kno", "wn?a=b HTTP/1.1\r\nHo", "st: x\r\n\r\n"})
             .find("HTTP/1.1 200 OK") == 0);
-  CHECK(exchange(pages, {"GET /other HTTP/1.1\r\n\r\n"}).find("HTTP/1.1 404") ==
-        0);
-  CHECK(exchange(pages, {"POST /known HTTP/1.1\r\nConnection: close\r\n"
-                         "Content-Length: 0\r\n\r\n"})
+  CHECK(sendRaw(handlePage, {"GET /other HTTP/1.1\r\n\r\n"})
+            .find("HTTP/1.1 404") == 0);
+  CHECK(sendRaw(handlePage, {"POST /known HTTP/1.1\r\nConnection: close\r\n"
+                             "Content-Length: 0\r\n\r\n"})
             .find("HTTP/1.1 405") == 0);
 }
 
 TEST_CASE("what is no HTTP is closed without an answer") {
-  CHECK(exchange(pages, {"\x01\x02\x03\r\n\r\n"}).empty());
+  CHECK(sendRaw(handlePage, {"\x01\x02\x03\r\n\r\n"}).empty());
 }
--- a/test/log-test.cc
+++ b/test/log-test.cc
@@ -26,17 +26,17 @@
 TEST_CASE(
     "a budget allows a burst, then so many lines a second, and counts the "
     "rest") {
-  LogRateLimiter Budget;
+  LogRateLimiter Limiter;
   MonoTime Now(100s);
   std::uint32_t Allowed = 0;
   for (int I = 0; I < 1000; ++I)
-    Allowed += Budget.allow(Now) ? 1 : 0;
+    Allowed += Limiter.allow(Now) ? 1 : 0;
   CHECK(Allowed == LogRateLimiter::Burst);
-  CHECK(Budget.takeDroppedCount() == 1000 - LogRateLimiter::Burst);
-  CHECK(Budget.takeDroppedCount() == 0);
+  CHECK(Limiter.takeDroppedCount() == 1000 - LogRateLimiter::Burst);
+  CHECK(Limiter.takeDroppedCount() == 0);
   Allowed = 0;
   for (int I = 0; I < 10'000; ++I)
-    Allowed += Budget.allow(Now + std::chrono::milliseconds(I)) ? 1 : 0;
+    Allowed += Limiter.allow(Now + std::chrono::milliseconds(I)) ? 1 : 0;
   CHECK(Allowed >= 10 * LogRateLimiter::LinesPerSecond - 1);
   CHECK(Allowed <= 10 * LogRateLimiter::LinesPerSecond);
 }
--- a/test/metrics-test.cc
+++ b/test/metrics-test.cc
@@ -11,19 +11,19 @@
 using Json = nlohmann::json;
 
 TEST_CASE("delays are kept apart by tenant and class") {
-  DelayMetrics M;
+  DelayMetrics Metrics;
   for (int I = 1; I <= 100; ++I)
-    M.record("index", "once", Micros(I * 1000));
-  M.record("archive", "once", Micros(5));
-  CHECK(M.count("index", "once") == 100U);
-  CHECK(M.count("index", "open") == 0U);
-  CHECK(M.quantile("index", "once", 0.5).count() > 45'000);
-  CHECK(M.quantile("index", "once", 0.5).count() < 56'000);
-  CHECK(M.quantile("archive", "once", 0.99).count() == 10);
-  CHECK(M.quantile("index", "open", 0.5).count() == 0);
-  Json Page = Json::parse(M.json());
+    Metrics.record("index", "once", Micros(I * 1000));
+  Metrics.record("archive", "once", Micros(5));
+  CHECK(Metrics.count("index", "once") == 100U);
+  CHECK(Metrics.count("index", "open") == 0U);
+  CHECK(Metrics.quantile("index", "once", 0.5).count() > 45'000);
+  CHECK(Metrics.quantile("index", "once", 0.5).count() < 56'000);
+  CHECK(Metrics.quantile("archive", "once", 0.99).count() == 10);
+  CHECK(Metrics.quantile("index", "open", 0.5).count() == 0);
+  Json Page = Json::parse(Metrics.json());
   CHECK(Page["index"]["once"]["count"] == 100);
-  std::string Text = M.prometheus("delay");
+  std::string Text = Metrics.prometheus("delay");
   CHECK(Text.find("delay_count{tenant=\"index\",class=\"once\"} 100") !=
         std::string::npos);
   CHECK(Text.find("le=\"+Inf\"} 100") != std::string::npos);
@@ -53,30 +53,31 @@
   Json Second = Upstream;
   Second["executed_once"] = Json::array();
   Second["samples"] = {{95, 7, 20}};
-  auto Judge = [&] {
-    return detail::audit(Callers.dump(), {Upstream.dump(), Second.dump()}, 0.5);
+  auto RunAudit = [&] {
+    return detail::auditRun(Callers.dump(), {Upstream.dump(), Second.dump()},
+                            0.5);
   };
-  detail::Verdict Good = Judge();
-  CHECK(Good.Kept_);
-  Json Line = Json::parse(Good.Line_);
+  detail::AuditResult Good = RunAudit();
+  CHECK(Good.Passed_);
+  Json Line = Json::parse(Good.Json_);
   CHECK(Line["config_seconds_max"] == 0.5);
   CHECK(Line["imbalance_percent"].get<double>() == doctest::Approx(33.333));
   Second["executed_once"] = {3};
-  CHECK(!Judge().Kept_); // doubled
+  CHECK(!RunAudit().Passed_); // doubled
   Second["executed_once"] = {2};
-  CHECK(!Judge().Kept_); // false not run
+  CHECK(!RunAudit().Passed_); // false not run
   Second["executed_once"] = Json::array();
   Callers["answered_once"] = {1, 9};
-  CHECK(!Judge().Kept_); // answered though never run
+  CHECK(!RunAudit().Passed_); // answered though never run
   Callers["answered_once"] = {1};
   Second["wrong_service"] = 1;
-  CHECK(!Judge().Kept_);
+  CHECK(!RunAudit().Passed_);
   Second["wrong_service"] = 0;
   Callers["mixed_parts"] = 1;
-  CHECK(!Judge().Kept_);
+  CHECK(!RunAudit().Passed_);
   Callers["mixed_parts"] = 0;
   Callers["broken_flows"] = 1;
-  CHECK(!Judge().Kept_);
+  CHECK(!RunAudit().Passed_);
 }
 
 TEST_CASE("a bad scenario is refused with its key named") {
