--- a/include/thymewall/log.h
+++ b/include/thymewall/log.h
@@ -1,7 +1,7 @@
 /// \file
-/// Structured log lines on standard output, one JSON object each. Writing never
-/// blocks: what the reader of the output does not take in time is dropped and
-/// counted, and a line says how many.
+/// Structured logging to standard output, one JSON object per line. Writing
+/// never blocks: lines that do not fit into the output buffer are dropped, and
+/// a later line reports how many.
 ///
 ///   logState("stopping", {});
 ///   logDecision("flow_opened", {{"caller", Caller}, {"candidates", 12}});
@@ -18,7 +18,7 @@
 
 namespace thymewall {
 
-/// Value of a field of a log line.
+/// Value of a log field: a string, an integer or a boolean.
 class LogValue {
 public:
   LogValue(std::string Value) : Value_(std::move(Value)) {}
@@ -36,25 +36,25 @@
   std::variant<std::string, std::int64_t, bool> Value_;
 };
 
-/// Key and value of one field of a log line.
+/// Key and value of a log field.
 using LogField = std::pair<std::string_view, LogValue>;
 using LogFields = std::vector<LogField>;
 
-/// The text of a line without its end: time, process, event and fields.
+/// Returns a log line without its newline: time, process, event and fields.
 std::string formatLogLine(WallTime When, std::string_view Process,
                           std::string_view Event, const LogFields &Fields);
 
-/// Allows so many lines a second, with a short burst, and counts the others.
+/// Token bucket that limits the rate of log lines and counts the dropped ones.
 class LogRateLimiter {
 public:
-  /// Bounds the output of a process to about 25 KB a second: a decision's line
-  /// has about 250 bytes, and an entry host of today opens 50 flows a second.
+  /// Limits the output to about 25 KB/s at about 250 bytes per line.
   static constexpr std::uint32_t LinesPerSecond = 100;
+  /// Capacity of the bucket in lines.
   static constexpr std::uint32_t Burst = 300;
 
-  /// True when a line may be written at \p Now.
+  /// Returns whether a line may be written at \p Now, and takes a token for it.
   bool allow(MonoTime Now);
-  /// Lines refused since the last call.
+  /// Returns the number of lines dropped since the last call.
   std::uint64_t takeDroppedCount();
 
 private:
@@ -63,21 +63,21 @@
   double Tokens_ = Burst;
 };
 
-/// Starts the log of this process.
+/// Sets up logging; \p Process becomes the "process" field of each line.
 void startLog(const std::string &Process);
 
-/// A change of the process's own state; written at once.
+/// Logs a change of the process's own state and writes it immediately.
 void logState(std::string_view Event, const LogFields &Fields);
 
-/// A decision on a request or a changed belief, within the budget; written with
-/// the next `flushLog`.
+/// Logs a frequent event, such as a decision on a request, subject to
+/// `LogRateLimiter`. The line is written by the next `flushLog`.
 void logRateLimited(std::string_view Event, const LogFields &Fields);
 
-/// Writes what is held back, and how many lines were dropped since the last
-/// time. Call it a few times a second and at the end.
+/// Writes buffered lines, and a line with the number of lines dropped since the
+/// last call. Call it a few times per second and before the process exits.
 void flushLog();
 
-/// Lines dropped since the start of the process.
+/// Returns the number of dropped lines reported since the process started.
 std::uint64_t droppedLogLineCount();
 
 } // namespace thymewall
--- a/include/thymewall/metrics.h
+++ b/include/thymewall/metrics.h
@@ -1,6 +1,6 @@
 /// \file
-/// Delay histograms per tenant (service) and class, by Boost.Histogram, and
-/// their two renderings.
+/// Delay histograms per tenant (service) and request class, exported as JSON
+/// and in the Prometheus text format.
 #ifndef THYMEWALL_METRICS_H
 #define THYMEWALL_METRICS_H
 
@@ -10,7 +10,8 @@
 
 namespace thymewall {
 
-/// Histograms of delays from 10 us to 60 s, keyed by tenant and class.
+/// Delay histograms with logarithmic bins from 10 us to 60 s, one per tenant
+/// and class.
 class DelayMetrics {
 public:
   DelayMetrics();
@@ -22,13 +23,15 @@
               Micros Delay);
   std::uint64_t count(const std::string &Tenant,
                       const std::string &Class) const;
-  /// The smallest bin edge with at least this share (0 to 1) below it; zero
-  /// without data.
+  /// Returns the upper edge of the first bin at which the cumulative count
+  /// reaches \p Fraction (0 to 1) of all samples; zero without samples.
   Micros quantile(const std::string &Tenant, const std::string &Class,
                   double Fraction) const;
+  /// Returns the histograms as JSON:
   /// {"TENANT": {"CLASS": {"count":N,"p50_us":..,"p99_us":..,"bins":[..]}}}
   std::string json() const;
-  /// Prometheus text format 0.0.4, one histogram per tenant and class.
+  /// Returns the metric \p Name in the Prometheus text format 0.0.4, with one
+  /// histogram per tenant and class.
   std::string prometheus(const std::string &Name) const;
 
 private:
--- a/src/ctl-main.cc
+++ b/src/ctl-main.cc
@@ -1,4 +1,4 @@
-// thymewall-ctl: the operators' command.
+// thymewall-ctl: command-line tool for operators.
 #include "clock.h"
 #include "ctl-packet.h"
 #include "program.h"
@@ -41,7 +41,7 @@
   });
 }
 
-/// Checks documents of any of the three sorts, told apart by their keys.
+/// Checks settings, host lists and declarations, told apart by their keys.
 int check(const std::vector<std::string> &Files, WallTime From) {
   if (Files.empty())
     throw UsageError("check needs at least one FILE");
@@ -104,7 +104,8 @@
   return Names;
 }
 
-/// Prints which upstreams each service would lose and gain.
+/// Prints the upstreams that each service would lose or gain. Succeeds if the
+/// version increases.
 int diff(const std::vector<std::string> &Operands, WallTime When) {
   if (Operands.size() != 2)
     throw UsageError("diff needs OLD and NEW");
@@ -126,7 +127,7 @@
     for (const std::string &U : Before)
       if (After.count(U) == 0)
         std::cout << Name << ": - " << U
-                  << " (drains; its flows stay to their end)\n";
+                  << " (drains; its flows run to completion)\n";
     for (const std::string &U : After)
       if (Before.count(U) == 0)
         std::cout << Name << ": + " << U << "\n";
@@ -144,7 +145,7 @@
   return Json::parse(Result->body);
 }
 
-/// One line for an upstream that drains or is ejected, none for others.
+/// Prints an upstream that is draining or ejected; omits others.
 void printUpstream(const Json &U) {
   bool Draining = !U.at("declared").get<bool>() || U.at("leaving").get<bool>();
   bool Ejected = U.at("ejected").get<bool>();
@@ -183,7 +184,7 @@
   return AllAnswered ? ExitSuccess : ExitFailure;
 }
 
-/// Where new flows of a callers' address go at each packet balancer.
+/// Prints where each packet balancer sends new flows to \p CallerAddress.
 int route(const std::string &CallerAddress,
           const std::vector<std::string> &Addresses) {
   bool AllFound = true;
@@ -198,7 +199,8 @@
   return AllFound ? ExitSuccess : ExitFailure;
 }
 
-/// Waits until every balancer has a version in force; prints the seconds.
+/// Waits until every balancer has applied \p Wanted or a later version, and
+/// prints the elapsed seconds.
 int waitForVersion(const std::vector<std::string> &Addresses, Version Wanted,
                    int TimeoutSeconds) {
   constexpr auto PollInterval = std::chrono::milliseconds(20);
@@ -221,7 +223,7 @@
   return Remaining.empty() ? ExitSuccess : ExitFailure;
 }
 
-/// The status addresses of the balancers: those given, or all of --config.
+/// Returns the balancers' status addresses: \p Given, or those from --config.
 std::vector<std::string> addresses(const std::vector<std::string> &Given,
                                    const cxxopts::ParseResult &Arguments) {
   if (!Given.empty())
@@ -234,14 +236,14 @@
 int run(int Count, char **Values) {
   cxxopts::Options Options(
       "thymewall-ctl",
-      "Checks declarations and asks balancers.\n"
-      "  check FILE...         all faults of documents\n"
-      "  explain SERVICE FILE  who serves it, and why not\n"
-      "  diff OLD NEW          what a change would move\n"
-      "  status ADDRESS...     what balancers are doing\n"
-      "  route WHERE ADDRESS...  where new flows to an address "
-      "of callers go\n"
-      "  wait ADDRESS...       until --is is in force");
+      "Checks declarations and queries balancers.\n"
+      "  check FILE...         validate declarations, host lists and settings\n"
+      "  explain SERVICE FILE  which upstreams serve it, and why others don't\n"
+      "  diff OLD NEW          upstreams that each service would lose or gain\n"
+      "  status ADDRESS...     state of the balancers\n"
+      "  route CALLER-ADDRESS ADDRESS...  upstreams for new flows to an "
+      "address\n"
+      "  wait ADDRESS...       wait for version --is to be in force");
   Options.add_options()("at", "time, such as 2026-12-02T18:30Z (default: now)",
                         cxxopts::value<std::string>())(
       "is", "version to wait for",
--- a/src/ctl-packet.h
+++ b/src/ctl-packet.h
@@ -1,5 +1,5 @@
 /// \file
-/// What `thymewall-ctl` prints of packet balancers, from their status pages.
+/// Output of `thymewall-ctl` for packet balancers, from their status pages.
 #ifndef THYMEWALL_SRC_CTL_PACKET_H
 #define THYMEWALL_SRC_CTL_PACKET_H
 
@@ -7,15 +7,15 @@
 
 namespace thymewall::detail {
 
-/// True for a status page of a packet balancer.
+/// Returns whether \p Page is the status page of a packet balancer.
 bool isPacketStatus(const nlohmann::json &Page);
 
-/// Version, age of knowledge, reader, peers, and each upstream that takes no
-/// new flows with the reason.
+/// Prints the routing version, the age of the state, the peers, and each
+/// upstream that accepts no new flows with the reason.
 void printPacketStatus(const nlohmann::json &Page, std::ostream &Out);
 
-/// The services behind a callers' address and every upstream of theirs. False
-/// when this balancer knows no such address.
+/// Prints the services routed from \p Address, where callers connect, and their
+/// upstreams. Returns false if the balancer does not route this address.
 bool printRoute(const nlohmann::json &Page, const std::string &Address,
                 std::ostream &Out);
 
--- a/src/http-client.cc
+++ b/src/http-client.cc
@@ -17,12 +17,11 @@
 namespace http = boost::beast::http;
 using Parser = http::response_parser<http::string_body>;
 
-/// Largest answer: a page of items with some room.
+/// Largest response body that is accepted.
 constexpr std::uint64_t MaxBodyBytes = 8 << 20;
 constexpr std::size_t ReadBufferBytes = 16384;
-/// An answer that has begun fails once nothing more of it has come for this
-/// long: a whole list may take seconds when a fleet starts at once, and one
-/// that is given up and asked for again takes as long again.
+/// Idle timeout within a response. It extends the request's deadline, so that a
+/// slow but steady transfer of a long list is not aborted and repeated.
 constexpr auto ReadIdleTimeout = std::chrono::milliseconds(1000);
 
 } // namespace
@@ -55,7 +54,8 @@
   }
 
 private:
-  /// Wraps a completion handler: it does nothing once the call has ended.
+  /// Wraps a completion handler so that it does nothing after the request
+  /// ended.
   template <typename Function> auto guard(Function Then) {
     return [Self = shared_from_this(), RequestId = RequestId_,
             Then](const asio::error_code &Error, auto... Rest) {
@@ -68,7 +68,7 @@
     };
   }
 
-  /// Ends the call at `FailAt_`, which moves on while an answer comes.
+  /// Fails the request at `FailAt_`, which is extended while data arrives.
   void armTimer() {
     Timer_.expires_at(FailAt_);
     Timer_.async_wait([Self = shared_from_this(),
@@ -78,7 +78,7 @@
       if (Self->FailAt_ > std::chrono::steady_clock::now())
         Self->armTimer();
       else
-        Self->fail("no answer in time");
+        Self->fail("timed out waiting for the response");
     });
   }
 
@@ -126,7 +126,7 @@
       if (Error == http::error::need_more || Consumed == 0)
         break;
       if (Error)
-        return fail("not HTTP: " + Error.message());
+        return fail("invalid HTTP response: " + Error.message());
     }
     Unparsed_.erase(0, Parsed);
     if (Parser_->is_done())
@@ -164,12 +164,11 @@
   asio::ip::udp::endpoint Server_;
   std::string Host_;
   std::string Request_;
-  std::string Unparsed_; ///< Read, but not parsed yet.
+  std::string Unparsed_; ///< Received, but not parsed yet.
   std::optional<Parser> Parser_;
   std::array<char, ReadBufferBytes> Buffer_{};
   Handler OnResponse_;
-  std::uint64_t RequestId_ =
-      0; ///< Changes when a call starts and when it ends.
+  std::uint64_t RequestId_ = 0; ///< Changes when a request starts or ends.
 };
 
 HttpClient::HttpClient(asio::io_context &Context, const Endpoint &Server)
--- a/src/http-client.h
+++ b/src/http-client.h
@@ -1,6 +1,6 @@
 /// \file
-/// An HTTP/1.1 client on an Asio context: one connection that is kept, one call
-/// at a time, and a deadline for each. Messages are parsed by Boost.Beast.
+/// HTTP/1.1 client on an Asio context: one persistent connection, one request
+/// at a time, and a deadline per request.
 #ifndef THYMEWALL_SRC_HTTP_CLIENT_H
 #define THYMEWALL_SRC_HTTP_CLIENT_H
 
@@ -20,17 +20,18 @@
 
 class HttpClient {
 public:
-  /// Nothing when the connection failed or the deadline passed; \p Reason says
-  /// which.
+  /// Receives the response, or `std::nullopt` and the \p Reason if the
+  /// connection failed or the request timed out.
   using Handler = std::function<void(std::optional<HttpResponse>,
                                      const std::string &Reason)>;
 
   HttpClient(asio::io_context &Context, const Endpoint &Server);
   ~HttpClient();
 
-  /// Calls \p OnResponse once, never before this returns. The answer must begin
-  /// by \p Deadline and then keep coming. The call before must have been
-  /// answered. After a failure the connection is made anew.
+  /// Sends a GET request and later calls \p OnResponse once, never before this
+  /// function returns. The response must begin by \p Deadline and then arrive
+  /// without a long pause. The previous request must have completed. The next
+  /// request after a failure opens a new connection.
   void get(const std::string &Target,
            std::chrono::steady_clock::time_point Deadline, Handler OnResponse);
 
--- a/src/http-server.cc
+++ b/src/http-server.cc
@@ -19,10 +19,10 @@
 using HandlerPtr = std::shared_ptr<const HttpServer::RequestHandler>;
 
 constexpr std::size_t ReadBufferBytes = 2048;
-/// A connection that sends nothing for this long is closed; the fabric asks
-/// twice a second.
+/// A connection is closed this long after it opened or completed its last
+/// request.
 constexpr auto IdleTimeout = std::chrono::seconds(30);
-/// Connections held at once: the fabric, a scraper and some operators.
+/// Connections beyond this number are closed as soon as they are accepted.
 constexpr std::size_t MaxConnections = 64;
 
 std::string formatResponse(const HttpPage &Page) {
@@ -33,7 +33,7 @@
   return Text + "\r\n\r\n" + Page.Body_;
 }
 
-/// One connection; lives while an operation on it is under way.
+/// A client connection. Pending asynchronous operations keep it alive.
 class Connection : public std::enable_shared_from_this<Connection> {
 public:
   Connection(asio::ip::tcp::socket Socket, HandlerPtr Handler,
@@ -83,7 +83,7 @@
       return handleRequest();
     if (Error && Error != http::error::need_more) {
       IdleTimer_.cancel();
-      return; // not HTTP: the connection ends with this object
+      return; // invalid request: the destructor closes the socket
     }
     read();
   }
--- a/src/load-audit.cc
+++ b/src/load-audit.cc
@@ -12,10 +12,10 @@
 using Json = nlohmann::json;
 using Ids = std::vector<std::uint64_t>;
 
-/// Flows per slot of each upstream, by service.
+/// Flows per slot of each upstream, keyed by service ID.
 using SlotLoads = std::map<std::uint64_t, std::vector<double>>;
 
-/// Adds the counts of an upstream's last sample at or before \p AtMs.
+/// Adds the loads from an upstream's last samples at or before \p AtMs.
 void addSlotLoads(const Json &Upstream, std::int64_t AtMs, SlotLoads &Loads) {
   std::int64_t LastAt = 0;
   for (const Json &Sample : Upstream.at("samples"))
@@ -27,7 +27,8 @@
           Sample.at(2).get<double>() / Upstream.at("slots").get<double>());
 }
 
-/// How far the fullest upstream is above the mean, at worst over services.
+/// Returns by how much the most loaded upstream exceeds the mean load, in
+/// percent; the maximum over all services.
 double imbalancePercent(const SlotLoads &Loads) {
   double MaxPercent = 0;
   for (const auto &[Service, Values] : Loads) {
--- a/src/load-audit.h
+++ b/src/load-audit.h
@@ -1,5 +1,5 @@
 /// \file
-/// Judges a run from the records of its callers and upstreams alone.
+/// Checks a load run against the records of its callers and upstreams.
 #ifndef THYMEWALL_SRC_LOAD_AUDIT_H
 #define THYMEWALL_SRC_LOAD_AUDIT_H
 
@@ -8,13 +8,14 @@
 
 namespace thymewall::detail {
 
+/// Result of an audit.
 struct AuditResult {
-  std::string Json_;    ///< One JSON object.
-  bool Passed_ = false; ///< No promise was seen broken.
+  std::string Json_;    ///< Totals as one JSON object.
+  bool Passed_ = false; ///< No guarantee was violated.
 };
 
-/// \p Callers and \p Upstreams are records in JSON; throws
-/// `std::runtime_error` for one that can't be read.
+/// Checks the JSON records of the callers and the upstreams. \p ConfigSeconds
+/// is only copied to the result. Throws a JSON exception for an invalid record.
 AuditResult auditRun(const std::string &Callers,
                      const std::vector<std::string> &Upstreams,
                      double ConfigSeconds);
--- a/src/load-main.cc
+++ b/src/load-main.cc
@@ -1,4 +1,4 @@
-// thymewall-load: load, experiments, and the audit of a run.
+// thymewall-load: generates load and audits the records of a run.
 #include "load-audit.h"
 #include "load-run.h"
 #include "program.h"
@@ -31,14 +31,15 @@
 }
 
 int run(int Count, char **Values) {
-  cxxopts::Options Options("thymewall-load",
-                           "Runs a scenario, or with --audit judges one.");
+  cxxopts::Options Options(
+      "thymewall-load",
+      "Runs a load scenario, or audits the records of a run with --audit.");
   Options.add_options()("config", "scenario in JSON",
                         cxxopts::value<std::string>())(
       "record", "the callers' record: written by a run, read by --audit",
       cxxopts::value<std::string>())(
-      "audit", "judge a record against the upstreams' records")(
-      "config-seconds", "shown as config_seconds_max",
+      "audit", "check a record against the upstreams' records")(
+      "config-seconds", "value reported as config_seconds_max",
       cxxopts::value<double>()->default_value("0"))(
       "files", "", cxxopts::value<std::vector<std::string>>());
   Options.parse_positional("files");
--- a/src/load-run.cc
+++ b/src/load-run.cc
@@ -21,15 +21,15 @@
 constexpr auto TickInterval = 5ms;
 constexpr auto ResendInterval = 200ms;
 constexpr auto PingInterval = 4s;
-/// A final answer should have come by the deadline and this.
+/// How long after its deadline a request without a final answer is given up.
 constexpr auto GraceAfterDeadline = 300ms;
 constexpr auto DrainTime = 500ms;
 constexpr std::size_t OpenPaddingBytes = 140;
 
 enum class State { Waiting, Opening, Idle, Requesting, Done };
 
-/// The request that a flow has in progress. Resends carry the route of the
-/// first send: it is part of the request's identity.
+/// Request in progress on a flow. Resends carry the route of the first send,
+/// which is part of the request's identity.
 struct PendingRequest {
   std::uint64_t Id_ = 0;
   std::uint32_t Number_ = 0;
@@ -39,7 +39,7 @@
   SteadyTime ResendAt_;
   SteadyTime GiveUpAt_;
   WallTime Deadline_{};
-  /// Bits of the parts seen, by attempt: two attempts may arrive interleaved.
+  /// Bit mask of the received parts per attempt; attempts may be interleaved.
   std::map<std::uint64_t, std::uint64_t> PartsSeen_;
 };
 
@@ -52,9 +52,9 @@
   SteadyTime NextPingAt_;
   SealedRoute Route_;
   PendingRequest Pending_;
-  std::uint32_t CompletedRequests_ = 0; ///< Done so far.
-  std::uint32_t Number_ = 0;
-  std::uint32_t PushesInOrder_ = 0;
+  std::uint32_t CompletedRequests_ = 0;
+  std::uint32_t Number_ = 0;        ///< Number of the latest request.
+  std::uint32_t PushesInOrder_ = 0; ///< Acknowledged by pings.
 };
 
 struct Totals {
@@ -185,7 +185,7 @@
   schedule();
 }
 
-/// Does what is due at a flow's `NextActionAt_`.
+/// Runs the action of a flow that is due at its `NextActionAt_`.
 void LoadRun::Impl::runDueAction(CallerFlow &F, SteadyTime Now) {
   switch (F.State_) {
   case State::Waiting:
@@ -326,7 +326,7 @@
   }
 }
 
-/// The first `opened` wins; those of repeats are dropped.
+/// Accepts the first `Opened` message; duplicates are ignored.
 void LoadRun::Impl::onOpened(CallerFlow &F, const Message &M) {
   if (F.State_ != State::Opening)
     return;
@@ -368,7 +368,7 @@
   finishRequest(F);
 }
 
-/// Counts a final answer other than a whole one.
+/// Records a final answer that is not a complete response.
 void LoadRun::Impl::recordNotCompleted(CallerFlow &F, const Message &M) {
   const PendingRequest &P = F.Pending_;
   bool NotRun = (M.Flags_ & FlagNotRun) != 0;
@@ -422,7 +422,7 @@
 
 void LoadRun::Impl::onPush(CallerFlow &F, const Message &M) {
   if (M.Request_ != F.PushesInOrder_ + 1)
-    return; // repeated, or after a gap that the next ping fills
+    return; // duplicate or out of order; pings report the last one in order
   ++F.PushesInOrder_;
   ++Totals_.Pushes_;
 }
--- a/src/load-run.h
+++ b/src/load-run.h
@@ -1,6 +1,6 @@
 /// \file
-/// Many callers, each with flows: opens them, sends requests, resends until the
-/// deadline, and notes the final answer to each.
+/// Load generator: opens flows, sends requests, resends them until their
+/// deadline, and records the final answer to each.
 #ifndef THYMEWALL_SRC_LOAD_RUN_H
 #define THYMEWALL_SRC_LOAD_RUN_H
 
@@ -11,13 +11,14 @@
 
 namespace thymewall::detail {
 
+/// Runs a scenario and stops the context when all flows are closed.
 class LoadRun {
 public:
   LoadRun(asio::io_context &Context, const Scenario &S);
   ~LoadRun();
 
-  /// The record of a finished run as JSON: totals, the numbers of requests by
-  /// final answer, and delay histograms.
+  /// Returns the record of a finished run as JSON: totals, numbers of requests
+  /// by final answer, and delay histograms.
   std::string record() const;
 
 private:
--- a/src/load-scenario.h
+++ b/src/load-scenario.h
@@ -1,5 +1,5 @@
 /// \file
-/// A load scenario: what callers do, as a JSON document.
+/// Load scenario: the callers' behaviour, read from a JSON document.
 #ifndef THYMEWALL_SRC_LOAD_SCENARIO_H
 #define THYMEWALL_SRC_LOAD_SCENARIO_H
 
@@ -8,29 +8,32 @@
 
 namespace thymewall::detail {
 
-/// Flows of one service and what they ask for.
+/// Group of flows to one service that send the same kind of requests.
 struct LoadClass {
   std::string Service_;
-  Endpoint ServiceAddress_; ///< Of the fabric.
+  Endpoint ServiceAddress_; ///< Where the fabric accepts the service's callers.
   std::uint32_t Flows_ = 0;
   std::uint32_t RequestsPerFlow_ = 0;
-  double AtMostOnceFraction_ =
-      0; ///< Share of requests that may not be repeated.
+  /// Fraction of requests that must run at most once, 0 to 1.
+  double AtMostOnceFraction_ = 0;
   std::uint16_t Parts_ = 1;
-  Micros MeanThinkTime_{}; ///< Mean pause between a flow's requests.
-  Micros RequestTimeout_{};
+  Micros MeanThinkTime_{};  ///< Mean pause between a flow's requests.
+  Micros RequestTimeout_{}; ///< From the first send of a request.
 };
 
+/// Load scenario of all callers.
 struct Scenario {
   std::uint32_t Sockets_ = 0;
   std::uint32_t OpensPerSecond_ = 0;
-  Micros MinHoldTime_{}; ///< Least time from the last open to the first close.
+  /// Minimum time from the last open to the first close.
+  Micros MinHoldTime_{};
   std::uint64_t Seed_ = 0;
-  Endpoint LocalAddress_; ///< Callers' address; the port is unused.
+  /// Source address of the callers; the port is ignored.
+  Endpoint LocalAddress_;
   std::vector<LoadClass> Classes_;
 };
 
-/// The error object is `Problems`.
+/// Parses a scenario; \p File is named in errors, which are `Problems`.
 boost::leaf::result<Scenario> parseScenario(const std::string &Text,
                                             const std::string &File);
 
--- a/src/log.cc
+++ b/src/log.cc
@@ -21,12 +21,13 @@
 
 namespace sinks = boost::log::sinks;
 
-/// Held for a reader that is slow; a few seconds of the budget.
+/// Bytes buffered while the reader of the output is slow.
 constexpr std::size_t MaxBufferedBytes = 64 * 1024;
-/// A pipe that reports room takes this much at once without blocking.
+/// Write size that does not block once poll() reports a pipe as writable
+/// (PIPE_BUF).
 constexpr std::size_t MaxWriteBytes = 4096;
 
-/// Holds whole lines and writes them as far as standard output takes them.
+/// Buffers whole lines and writes them to standard output without blocking.
 class OutputBuffer {
 public:
   void append(const std::string &Line) {
@@ -58,7 +59,7 @@
   std::uint64_t Dropped_ = 0;
 };
 
-/// The end of Boost.Log's pipeline: hands each line to the writer.
+/// Boost.Log sink backend that passes each line to the output buffer.
 class LineBackend
     : public sinks::basic_formatted_sink_backend<char,
                                                  sinks::concurrent_feeding> {
@@ -72,8 +73,7 @@
   OutputBuffer &Output_;
 };
 
-/// Everything that belongs to the one log of a process. All lines come from the
-/// thread of the process's event loop.
+/// State of the process-wide log. Used only from the event loop's thread.
 struct ProcessLog {
   std::string Process_;
   OutputBuffer Output_;
@@ -107,7 +107,7 @@
     std::visit(
         [&, Key = Key](const auto &Typed) { Line[std::string(Key)] = Typed; },
         Value.get());
-  // Names may come from outside: bytes that are no text are replaced.
+  // Values may come from the network: invalid UTF-8 is replaced.
   return Line.dump(-1, ' ', false,
                    nlohmann::ordered_json::error_handler_t::replace);
 }
--- a/src/program.h
+++ b/src/program.h
@@ -1,6 +1,6 @@
 /// \file
-/// What every program shares: the command line, settings from a file, and exit
-/// codes.
+/// Helpers shared by all programs: command-line parsing, configuration files
+/// and exit codes.
 #ifndef THYMEWALL_SRC_PROGRAM_H
 #define THYMEWALL_SRC_PROGRAM_H
 
@@ -12,21 +12,24 @@
 
 namespace thymewall::detail {
 
+/// Exit codes: `ExitFailure` reports a negative result, such as a failed check;
+/// `ExitError` a wrong command line, a bad configuration or an exception.
 enum ExitCode { ExitSuccess = 0, ExitFailure = 1, ExitError = 2 };
 
-/// Whole contents of a file; nothing when it can't be read.
+/// Returns the contents of a file, or `std::nullopt` if it can't be read.
 std::optional<std::string> readFile(const std::string &Path);
 
-/// Prints each problem on a line of standard error.
+/// Prints the problems to standard error, one per line.
 void printProblems(const Problems &Found);
 
-/// Adds --help, --version and parses. Ends the process itself after printing
-/// either, or with `ExitError` and a message for a wrong command line.
+/// Adds --help and --version and parses the command line. Exits the process
+/// after printing either of them, or with `ExitError` and a message if the
+/// command line is invalid.
 cxxopts::ParseResult parseArguments(cxxopts::Options &Options, int Count,
                                     char **Values);
 
-/// Reads the file named by --config with \p Parse, or prints what is wrong and
-/// ends the process with `ExitError`.
+/// Reads the configuration file at \p Path with \p Parse. On failure, prints
+/// the problems and exits with `ExitError`.
 template <typename Function>
 auto loadConfig(const std::string &Path, Function Parse)
     -> std::decay_t<decltype(Parse(std::string(), Path).value())> {
@@ -48,8 +51,8 @@
       });
 }
 
-/// Runs a program's body; an exception that reaches it (an address in use, say)
-/// is printed and becomes `ExitError`.
+/// Runs the body of a program and returns its exit code. An exception, such as
+/// one for an address in use, is printed and becomes `ExitError`.
 int runProgram(const std::function<int()> &Body);
 
 } // namespace thymewall::detail
--- a/src/udp-socket.cc
+++ b/src/udp-socket.cc
@@ -64,7 +64,7 @@
         Socket_.receive_from(asio::buffer(Buffer), From, 0, Error);
     if (Error == asio::error::would_block)
       return;
-    if (!Error) // others are late reports of a peer's closed port
+    if (!Error) // e.g. a pending ICMP "port unreachable" error
       OnReceive_(fromAsio(From), Buffer, Size);
   }
 }
--- a/src/udp-socket.h
+++ b/src/udp-socket.h
@@ -1,5 +1,5 @@
 /// \file
-/// A non-blocking UDP socket on an Asio context, for all programs.
+/// Non-blocking UDP socket on an Asio context.
 #ifndef THYMEWALL_SRC_UDP_SOCKET_H
 #define THYMEWALL_SRC_UDP_SOCKET_H
 
@@ -11,6 +11,7 @@
 
 namespace thymewall::detail {
 
+/// Converts an IPv4-mapped address to a plain IPv4 endpoint.
 asio::ip::udp::endpoint toAsio(const Endpoint &Address);
 Endpoint fromAsio(const asio::ip::udp::endpoint &Address);
 
@@ -19,11 +20,12 @@
   using ReceiveHandler = std::function<void(
       const Endpoint &From, const std::uint8_t *Data, std::size_t Size)>;
 
-  /// Binds to \p Local; port 0 takes any. Throws `std::system_error`.
+  /// Binds to \p Local; port 0 selects a free port. Throws `std::system_error`
+  /// if binding fails.
   UdpSocket(asio::io_context &Context, const Endpoint &Local,
             ReceiveHandler OnReceive);
 
-  /// Sends at once or drops: datagrams may be lost anyway.
+  /// Sends without blocking; errors are ignored and the datagram is dropped.
   void send(const Endpoint &To, const std::uint8_t *Data, std::size_t Size);
   Endpoint localEndpoint() const;
   void close();
--- a/test/http-test.cc
+++ b/test/http-test.cc
@@ -1,5 +1,5 @@
-// The HTTP client against a server that misbehaves, and the HTTP server against
-// a client that does. All on loopback; nothing is asserted about durations.
+// The HTTP client against a faulty server, and the HTTP server against a faulty
+// client, on loopback. Durations are not checked.
 #include "http-client.h"
 #include "http-server.h"
 
@@ -17,9 +17,9 @@
 
 using asio::ip::tcp;
 
-/// Answers each request on a connection with the next scripted text; an empty
-/// text closes the connection, and after the last one nothing is said. A form
-/// feed in a text stands for a pause.
+/// Answers each request with the next text of the script. An empty text closes
+/// the connection, a form feed pauses for 400 ms, and requests after the end of
+/// the script get no answer.
 class ScriptedServer {
 public:
   ScriptedServer(asio::io_context &Context, std::vector<std::string> Script)
@@ -56,7 +56,7 @@
           }
           auto Text = std::make_shared<std::string>(Script_[Next_++]);
           if (Text->empty())
-            return; // the last owner of the socket closes it
+            return; // destroying the last reference closes the socket
           write(Socket, Text);
         });
   }
@@ -100,7 +100,8 @@
          "\r\n\r\n" + Body;
 }
 
-/// What came of calls, one after the other: "200 body" or "failed".
+/// Sends \p Count requests in sequence and returns each result: "200 body" or
+/// "failed".
 std::vector<std::string> sendRequests(asio::io_context &Context,
                                       const Endpoint &At, int Count) {
   HttpClient Client(Context, At);
@@ -125,7 +126,7 @@
 
 using Strings = std::vector<std::string>;
 
-/// What a server answers to raw bytes, sent in the given pieces.
+/// Returns the server's output for raw bytes that are sent in pieces.
 std::string sendRaw(const HttpServer::RequestHandler &Handler,
                     const Strings &Pieces) {
   asio::io_context Context;
@@ -169,7 +170,7 @@
 
 } // namespace
 
-TEST_CASE("an answer that keeps coming may take longer than its deadline") {
+TEST_CASE("a response that keeps arriving may end after its deadline") {
   asio::io_context Context;
   std::string SlowResponse = ok("whole");
   SlowResponse.insert(SlowResponse.size() - 2,
@@ -179,7 +180,7 @@
         Strings{"200 whole", "200 next"});
 }
 
-TEST_CASE("an answer that stops coming fails") {
+TEST_CASE("a response that stops half-way fails") {
   asio::io_context Context;
   std::string HalfResponse = ok("whole");
   HalfResponse.resize(HalfResponse.size() - 2);
@@ -187,10 +188,8 @@
   CHECK(sendRequests(Context, Server.at(), 2) == Strings{"failed", "200 next"});
 }
 
-TEST_CASE(
-    "a connection that goes silent between two calls, or before the first "
-    "answer, is left for a new one") {
-  // As between two pages of a list: each call has a deadline of its own.
+TEST_CASE("a request that times out on a reused connection is followed by one "
+          "on a new connection") {
   asio::io_context Context;
   std::string PartialResponse = ok("");
   PartialResponse.resize(10);
@@ -201,7 +200,7 @@
   CHECK(Server.connections() == 2);
 }
 
-TEST_CASE("calls share a connection as long as it holds") {
+TEST_CASE("successive requests reuse the connection") {
   asio::io_context Context;
   ScriptedServer Server(Context, {ok("a"), ok("b"), ok("c")});
   CHECK(sendRequests(Context, Server.at(), 3) ==
@@ -209,14 +208,14 @@
   CHECK(Server.connections() == 1);
 }
 
-TEST_CASE("refusals are answers") {
+TEST_CASE("a response with an error status is not a failure") {
   asio::io_context Context;
   ScriptedServer Server(
       Context, {"HTTP/1.1 429 Too Many\r\nContent-Length: 0\r\n\r\n", ok("b")});
   CHECK(sendRequests(Context, Server.at(), 2) == Strings{"429 ", "200 b"});
 }
 
-TEST_CASE("a body in chunks") {
+TEST_CASE("the client reads a chunked body") {
   asio::io_context Context;
   ScriptedServer Server(Context,
                         {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
@@ -224,26 +223,27 @@
   CHECK(sendRequests(Context, Server.at(), 1) == Strings{"200 abcde"});
 }
 
-TEST_CASE("after a failure the next call takes a new connection") {
+TEST_CASE("the next request after a failure opens a new connection") {
   std::string First;
-  SUBCASE("the server closes without an answer") { First = ""; }
-  SUBCASE("half an answer") {
+  SUBCASE("the server closes without a response") { First = ""; }
+  SUBCASE("the response is incomplete") {
     First = "HTTP/1.1 200 OK\r\nContent-Length: 9\r\nX: close\r\n\r\nhalf";
   }
-  SUBCASE("no HTTP") { First = "what is this\r\n\r\n"; }
+  SUBCASE("the response is not HTTP") { First = "what is this\r\n\r\n"; }
   asio::io_context Context;
   ScriptedServer Server(Context, {First, ok("b")});
   CHECK(sendRequests(Context, Server.at(), 2) == Strings{"failed", "200 b"});
   CHECK(Server.connections() == 2);
 }
 
-TEST_CASE("silence ends a call at its deadline") {
+TEST_CASE("a request without a response fails at its deadline") {
   asio::io_context Context;
   ScriptedServer Server(Context, {});
   CHECK(sendRequests(Context, Server.at(), 1) == Strings{"failed"});
 }
 
-TEST_CASE("a server answers requests in pieces, and unknown ones") {
+TEST_CASE("the server handles split requests, unknown paths and methods other "
+          "than GET") {
   CHECK(sendRaw(handlePage,
                 {"GET /kno", "wn?a=b HTTP/1.1\r\nHo", "st: x\r\n\r\n"})
             .find("HTTP/1.1 200 OK") == 0);
@@ -254,6 +254,7 @@
             .find("HTTP/1.1 405") == 0);
 }
 
-TEST_CASE("what is no HTTP is closed without an answer") {
+TEST_CASE(
+    "the server closes the connection on invalid HTTP without a response") {
   CHECK(sendRaw(handlePage, {"\x01\x02\x03\r\n\r\n"}).empty());
 }
--- a/test/log-test.cc
+++ b/test/log-test.cc
@@ -8,7 +8,8 @@
 using namespace thymewall;
 using namespace std::chrono_literals;
 
-TEST_CASE("a line is one JSON object whatever its values hold") {
+TEST_CASE("a log line is one JSON object even with control characters and "
+          "invalid UTF-8") {
   std::string Line =
       formatLogLine(WallTime(1'700'000'000'123'456us), "lb-1", "flow_opened",
                     {{"caller", "a \"quoted\"\nname\xff"},
@@ -24,8 +25,8 @@
 }
 
 TEST_CASE(
-    "a budget allows a burst, then so many lines a second, and counts the "
-    "rest") {
+    "the rate limiter allows a burst, then a fixed rate, and counts dropped "
+    "lines") {
   LogRateLimiter Limiter;
   MonoTime Now(100s);
   std::uint32_t Allowed = 0;
@@ -41,7 +42,8 @@
   CHECK(Allowed <= 10 * LogRateLimiter::LinesPerSecond);
 }
 
-TEST_CASE("the log says of the configuration service only what is known") {
+TEST_CASE(
+    "the service log reports only state changes of the configuration service") {
   std::vector<std::string> Events;
   detail::ServiceLog Log([&](std::string_view Event, const LogFields &) {
     Events.emplace_back(Event);
@@ -65,7 +67,7 @@
   CHECK(Events == Lines{"configuration_service_call_failed",
                         "configuration_service_answers"});
   Events.clear();
-  // A peer reads: this process makes no call, whose answer would say more.
+  // A peer reads the service, so this process stops calling it.
   Answered(6s, Outcome::Failed);
   Log.confirmed(MonoTime(7s));
   Answered(18s, Outcome::Done);
--- a/test/metrics-test.cc
+++ b/test/metrics-test.cc
@@ -10,7 +10,7 @@
 using namespace thymewall;
 using Json = nlohmann::json;
 
-TEST_CASE("delays are kept apart by tenant and class") {
+TEST_CASE("delays are recorded separately per tenant and class") {
   DelayMetrics Metrics;
   for (int I = 1; I <= 100; ++I)
     Metrics.record("index", "once", Micros(I * 1000));
@@ -29,7 +29,7 @@
   CHECK(Text.find("le=\"+Inf\"} 100") != std::string::npos);
 }
 
-TEST_CASE("the audit finds each broken promise") {
+TEST_CASE("the audit reports each violated guarantee") {
   Json Callers = {{"flows", 2},
                   {"requests", 3},
                   {"answered", 1},
@@ -63,12 +63,12 @@
   CHECK(Line["config_seconds_max"] == 0.5);
   CHECK(Line["imbalance_percent"].get<double>() == doctest::Approx(33.333));
   Second["executed_once"] = {3};
-  CHECK(!RunAudit().Passed_); // doubled
+  CHECK(!RunAudit().Passed_); // executed twice
   Second["executed_once"] = {2};
-  CHECK(!RunAudit().Passed_); // false not run
+  CHECK(!RunAudit().Passed_); // reported as not run, but executed
   Second["executed_once"] = Json::array();
   Callers["answered_once"] = {1, 9};
-  CHECK(!RunAudit().Passed_); // answered though never run
+  CHECK(!RunAudit().Passed_); // answered, but never executed
   Callers["answered_once"] = {1};
   Second["wrong_service"] = 1;
   CHECK(!RunAudit().Passed_);
@@ -80,7 +80,7 @@
   CHECK(!RunAudit().Passed_);
 }
 
-TEST_CASE("a bad scenario is refused with its key named") {
+TEST_CASE("an invalid scenario is rejected with the key of the first error") {
   auto FirstKey = [](const std::string &Text) {
     return boost::leaf::try_handle_all(
         [&]() -> boost::leaf::result<std::string> {
