--- a/src/ctl-main.cc
+++ b/src/ctl-main.cc
@@ -184,8 +184,8 @@
   return AllAnswered ? ExitSuccess : ExitFailure;
 }
 
-/// Prints where each packet balancer sends new flows to \p CallerAddress.
-int route(const std::string &CallerAddress,
+/// Prints where each packet balancer sends new flows to \p ServiceAddress.
+int route(const std::string &ServiceAddress,
           const std::vector<std::string> &Addresses) {
   bool AllFound = true;
   for (const std::string &Address : Addresses) {
@@ -193,7 +193,7 @@
     if (!Page)
       std::cout << Address << ": no answer\n";
     bool Found = Page && isPacketStatus(*Page) &&
-                 printRoute(*Page, CallerAddress, std::cout);
+                 printRoute(*Page, ServiceAddress, std::cout);
     AllFound = AllFound && Found;
   }
   return AllFound ? ExitSuccess : ExitFailure;
@@ -241,7 +241,7 @@
       "  explain SERVICE FILE  which upstreams serve it, and why others don't\n"
       "  diff OLD NEW          upstreams that each service would lose or gain\n"
       "  status ADDRESS...     state of the balancers\n"
-      "  route CALLER-ADDRESS ADDRESS...  upstreams for new flows to an "
+      "  route SERVICE-ADDRESS ADDRESS...  upstreams for new flows to an "
       "address\n"
       "  wait ADDRESS...       wait for version --is to be in force");
   Options.add_options()("at", "time, such as 2026-12-02T18:30Z (default: now)",
--- a/src/metrics.cc
+++ b/src/metrics.cc
@@ -101,9 +101,9 @@
 
 std::string DelayMetrics::prometheus(const std::string &Name) const {
   std::string Text = "# TYPE " + Name + " histogram\n";
-  for (const auto &[Key, D] : Impl_->Delays_) {
+  for (const auto &[Series, D] : Impl_->Delays_) {
     std::string Labels =
-        "tenant=\"" + Key.first + "\",class=\"" + Key.second + "\"";
+        "tenant=\"" + Series.first + "\",class=\"" + Series.second + "\"";
     std::uint64_t Cumulative = 0;
     for (auto &&Bin : bh::indexed(D.Histogram_, bh::coverage::all)) {
       auto InBin = static_cast<std::uint64_t>(*Bin);
