--- a/src/balancer-process.cc
+++ b/src/balancer-process.cc
@@ -70,7 +70,7 @@
 private:
   using DatagramHandler = void (Impl::*)(const Endpoint &, const std::uint8_t *,
                                          std::size_t);
-  UdpSocket::Receiver receiver(DatagramHandler Function);
+  UdpSocket::ReceiveHandler receiver(DatagramHandler Function);
   void onUpstream(const Endpoint &From, const std::uint8_t *Data,
                   std::size_t Size);
   void onPeer(const Endpoint &From, const std::uint8_t *Data, std::size_t Size);
@@ -162,7 +162,7 @@
   updateWatching();
 }
 
-UdpSocket::Receiver BalancerProcess::Impl::receiver(DatagramHandler Function) {
+UdpSocket::ReceiveHandler BalancerProcess::Impl::receiver(DatagramHandler Function) {
   return [this, Function](const Endpoint &From, const std::uint8_t *Data,
                           std::size_t Size) {
     (this->*Function)(From, Data, Size);
--- a/src/packet-log.cc
+++ b/src/packet-log.cc
@@ -92,7 +92,7 @@
   Fields.emplace_back("routing_version", D.RoutingVersion_);
   if (D.HasConfirmation_)
     Fields.emplace_back("knowledge_age_ms", millis(D.KnowledgeAge_));
-  logDecision(eventName(D.Kind_), Fields);
+  logRateLimited(eventName(D.Kind_), Fields);
 }
 
 void logUpstreamEvent(const UpstreamEvent &Event) {
@@ -108,17 +108,17 @@
                         Event.Evidence_);
     Fields.emplace_back("needed", Event.Needed_);
   }
-  logDecision(eventName(Event.Kind_), Fields);
+  logRateLimited(eventName(Event.Kind_), Fields);
 }
 
 void logReset(const ResetFlow &R) {
-  logDecision("flow_reset", {{"caller", formatEndpoint(R.Caller_)},
+  logRateLimited("flow_reset", {{"caller", formatEndpoint(R.Caller_)},
                              {"address", formatEndpoint(R.Service_)},
                              {"reason", errorRow(R.Error_).Name_}});
 }
 
 void logEvacuation(const EvacuationChange &Change) {
-  logDecision(
+  logRateLimited(
       Change.Evacuated_ ? "data_hall_evacuated" : "data_hall_taken_back",
       {{"data_hall", Change.DataHall_}, {"revision", Change.Revision_}});
 }
@@ -128,13 +128,13 @@
   auto Listed = std::count_if(
       Changes.begin(), Changes.end(),
       [](const UpstreamChange &C) { return C.Entry_ && !C.Ended_; });
-  logDecision("upstreams_told", {{"listed", Listed},
+  logRateLimited("upstreams_told", {{"listed", Listed},
                                  {"ended", Changes.size() - Listed},
                                  {"revision", Through}});
 }
 
 void logRouting(const RoutingTable &Table) {
-  logDecision("routing_in_force", {{"version", Table.Version_},
+  logRateLimited("routing_in_force", {{"version", Table.Version_},
                                    {"addresses", Table.Addresses_.size()}});
 }
 
@@ -143,7 +143,7 @@
                 Response.Outcome_ == ConfigResponse::Outcome::Stale ||
                 Response.Outcome_ == ConfigResponse::Outcome::HistoryGone;
   if (Response.Outcome_ == ConfigResponse::Outcome::HistoryGone)
-    logDecision("history_gone", {});
+    logRateLimited("history_gone", {});
   if (Served == !failing())
     return;
   if (Served) {
--- a/src/packet-process-control.cc
+++ b/src/packet-process-control.cc
@@ -74,7 +74,7 @@
   R.ServiceCalls_ = ServiceCalls_;
   R.ServiceFailures_ = ServiceFailures_;
   R.RefusedItems_ = RefusedItems_;
-  R.LogLinesDropped_ = droppedLogLines();
+  R.LogLinesDropped_ = droppedLogLineCount();
   R.ReadsForFleet_ = Gossip_.nextReadAt() <= R.Now_;
   R.Delays_ = &Delays_;
   return R;
--- a/src/udp-socket.h
+++ b/src/udp-socket.h
@@ -1,5 +1,5 @@
 /// \file
-/// A non-blocking UDP socket on an Asio context, for all programs.
+/// Non-blocking UDP socket on an Asio context.
 #ifndef THYMEWALL_SRC_UDP_SOCKET_H
 #define THYMEWALL_SRC_UDP_SOCKET_H
 
@@ -11,33 +11,35 @@
 
 namespace thymewall::detail {
 
-asio::ip::udp::endpoint toAsio(const Endpoint &Where);
-Endpoint fromAsio(const asio::ip::udp::endpoint &Where);
+/// Converts an IPv4-mapped address to a plain IPv4 endpoint.
+asio::ip::udp::endpoint toAsio(const Endpoint &Address);
+Endpoint fromAsio(const asio::ip::udp::endpoint &Address);
 
 class UdpSocket {
 public:
-  using Receiver = std::function<void(
+  using ReceiveHandler = std::function<void(
       const Endpoint &From, const std::uint8_t *Data, std::size_t Size)>;
 
-  /// Binds to \p Local; port 0 takes any. Throws `std::system_error`.
+  /// Binds to \p Local; port 0 selects a free port. Throws `std::system_error`
+  /// if binding fails.
   UdpSocket(asio::io_context &Context, const Endpoint &Local,
-            Receiver OnReceive);
+            ReceiveHandler OnReceive);
 
-  /// Sends at once or drops: datagrams may be lost anyway.
+  /// Sends without blocking; errors are ignored and the datagram is dropped.
   void send(const Endpoint &To, const std::uint8_t *Data, std::size_t Size);
-  Endpoint local() const;
+  Endpoint localEndpoint() const;
   void close();
 
 private:
-  static constexpr int BufferBytes = 4 << 20;
-  static constexpr int MaxBurst = 64;
-  static constexpr std::size_t MaxSize = 4096;
+  static constexpr int SocketBufferBytes = 4 << 20;
+  static constexpr int MaxDatagramsPerWakeup = 64;
+  static constexpr std::size_t MaxDatagramBytes = 4096;
 
-  void wait();
+  void waitReadable();
   void receiveBurst();
 
   asio::ip::udp::socket Socket_;
-  Receiver OnReceive_;
+  ReceiveHandler OnReceive_;
 };
 
 } // namespace thymewall::detail
--- a/test/log-test.cc
+++ b/test/log-test.cc
@@ -8,7 +8,8 @@
 using namespace thymewall;
 using namespace std::chrono_literals;
 
-TEST_CASE("a line is one JSON object whatever its values hold") {
+TEST_CASE("a log line is one JSON object even with control characters and "
+          "invalid UTF-8") {
   std::string Line =
       formatLogLine(WallTime(1'700'000'000'123'456us), "lb-1", "flow_opened",
                     {{"caller", "a \"quoted\"\nname\xff"},
@@ -24,24 +25,24 @@
 }
 
 TEST_CASE(
-    "a budget allows a burst, then so many lines a second, and counts the "
-    "rest") {
-  LogBudget Budget;
+    "the rate limiter allows a burst, then a fixed rate, and counts dropped "
+    "lines") {
+  LogRateLimiter Limiter;
   MonoTime Now(100s);
   std::uint32_t Allowed = 0;
   for (int I = 0; I < 1000; ++I)
-    Allowed += Budget.take(Now) ? 1 : 0;
-  CHECK(Allowed == LogBudget::Burst);
-  CHECK(Budget.takeDropped() == 1000 - LogBudget::Burst);
-  CHECK(Budget.takeDropped() == 0);
+    Allowed += Limiter.allow(Now) ? 1 : 0;
+  CHECK(Allowed == LogRateLimiter::Burst);
+  CHECK(Limiter.takeDroppedCount() == 1000 - LogRateLimiter::Burst);
+  CHECK(Limiter.takeDroppedCount() == 0);
   Allowed = 0;
   for (int I = 0; I < 10'000; ++I)
-    Allowed += Budget.take(Now + std::chrono::milliseconds(I)) ? 1 : 0;
-  CHECK(Allowed >= 10 * LogBudget::LinesPerSecond - 1);
-  CHECK(Allowed <= 10 * LogBudget::LinesPerSecond);
+    Allowed += Limiter.allow(Now + std::chrono::milliseconds(I)) ? 1 : 0;
+  CHECK(Allowed >= 10 * LogRateLimiter::LinesPerSecond - 1);
+  CHECK(Allowed <= 10 * LogRateLimiter::LinesPerSecond);
 }
 
-TEST_CASE("the log says of the configuration service only what is known") {
+TEST_CASE("the service log reports only state changes of the configuration service") {
   std::vector<std::string> Events;
   detail::ConfigServiceLog Log([&](std::string_view Event, const LogFields &) {
     Events.emplace_back(Event);
@@ -65,7 +66,7 @@
   CHECK(Events == Lines{"configuration_service_call_failed",
                         "configuration_service_answers"});
   Events.clear();
-  // A peer reads: this process makes no call, whose answer would say more.
+  // A peer reads the service, so this process stops calling it.
   Answered(6s, Outcome::Failed);
   Log.confirmed(MonoTime(7s));
   Answered(18s, Outcome::Done);
