--- a/soak/soak-process.cc
+++ b/soak/soak-process.cc
@@ -15,14 +15,14 @@
 
 namespace {
 
-constexpr auto HeldLook = 20ms;
+constexpr auto PausedPollInterval = 20ms;
 
-std::string at(const std::string &Host, std::uint16_t Port) {
+std::string hostAndPort(const std::string &Host, std::uint16_t Port) {
   return Host + ":" + std::to_string(Port);
 }
 
-std::string advertised(std::size_t Index) {
-  return at("127.0.4." + std::to_string(10 + Index), ControlPort);
+std::string advertisedControl(std::size_t Index) {
+  return hostAndPort("127.0.4." + std::to_string(10 + Index), ControlPort);
 }
 
 } // namespace
@@ -39,25 +39,26 @@
     kill();
 }
 
-void BalancerChild::writeSettings(bool Good, int FlowLimitMs) {
-  std::string Host = World::hostOf(Index_);
+void BalancerChild::writeSettings(bool Valid, int FlowLimitMs) {
+  std::string Host = Environment::balancerHost(Index_);
   nlohmann::json Settings = {
       {"name", "lb-" + std::to_string(Index_)},
       {"data_hall", "hall-" + std::to_string(Index_ % 3)},
-      {"packets", at(Host, PacketPort)},
-      {"readiness", at(Host, ReadinessPort)},
-      {"control", at(Host, ControlPort)},
-      {"advertised_control", advertised(Index_)},
-      {"configuration", formatEndpoint(ConfigurationService::at(Index_))},
+      {"packets", hostAndPort(Host, PacketPort)},
+      {"readiness", hostAndPort(Host, ReadinessPort)},
+      {"control", hostAndPort(Host, ControlPort)},
+      {"advertised_control", advertisedControl(Index_)},
+      {"configuration",
+       formatEndpoint(ConfigurationService::endpointFor(Index_))},
       {"metrics_port", MetricsPort},
       {"seeds", nlohmann::json::array()},
       {"routing_within_ms", 3000},
       {"stop_within_ms", 6000},
       {"flow_limit_ms", FlowLimitMs}};
   for (std::size_t Seed = 0; Seed < std::min<std::size_t>(3, Count_); ++Seed)
-    Settings["seeds"].push_back(advertised(Seed));
+    Settings["seeds"].push_back(advertisedControl(Seed));
   std::ofstream Out(Folder_ + "/lb-" + std::to_string(Index_) + ".json");
-  Out << (Good ? Settings.dump() : "{\"name\": 3");
+  Out << (Valid ? Settings.dump() : "{\"name\": 3");
 }
 
 void BalancerChild::start() {
@@ -93,14 +94,14 @@
   Pid_ = 0;
 }
 
-bool BalancerChild::ended(int &Status) {
+bool BalancerChild::hasExited(int &Status) {
   if (!running() || waitpid(Pid_, &Status, WNOHANG) != Pid_)
     return false;
   Pid_ = 0;
   return true;
 }
 
-bool BalancerChild::logHolds(const std::string &Text) const {
+bool BalancerChild::logContains(const std::string &Text) const {
   std::ifstream Log(Folder_ + "/lb-" + std::to_string(Index_) + ".log");
   std::string Line;
   while (std::getline(Log, Line))
@@ -109,19 +110,20 @@
   return false;
 }
 
-struct Forwarder::Pair {
-  explicit Pair(asio::io_context &Context)
-      : Near_(Context), Far_(Context), Timers_{asio::steady_timer(Context),
-                                               asio::steady_timer(Context)} {}
-  asio::ip::tcp::socket Near_; ///< The peer that connected.
-  asio::ip::tcp::socket Far_;  ///< The balancer.
+struct Forwarder::Connection {
+  explicit Connection(asio::io_context &Context)
+      : Peer_(Context),
+        Balancer_(Context), Timers_{asio::steady_timer(Context),
+                                    asio::steady_timer(Context)} {}
+  asio::ip::tcp::socket Peer_;     ///< The peer that connected.
+  asio::ip::tcp::socket Balancer_; ///< The balancer.
   asio::steady_timer Timers_[2];
   std::array<char, 4096> Buffers_[2]{};
 
   void close() {
     asio::error_code Ignored;
-    Near_.close(Ignored);
-    Far_.close(Ignored);
+    Peer_.close(Ignored);
+    Balancer_.close(Ignored);
   }
 };
 
@@ -134,55 +136,56 @@
 }
 
 void Forwarder::accept() {
-  auto P = std::make_shared<Pair>(Context_);
-  Acceptor_.async_accept(P->Near_, [this, P](const asio::error_code &Error) {
+  auto C = std::make_shared<Connection>(Context_);
+  Acceptor_.async_accept(C->Peer_, [this, C](const asio::error_code &Error) {
     accept();
     if (Error)
       return;
-    Pairs_.remove_if([](const auto &Old) { return Old.expired(); });
-    Pairs_.push_back(P);
-    P->Far_.async_connect(Target_, [this, P](const asio::error_code &Failed) {
-      if (Failed)
-        return P->close();
-      pump(P, true);
-      pump(P, false);
-    });
+    Connections_.remove_if([](const auto &Old) { return Old.expired(); });
+    Connections_.push_back(C);
+    C->Balancer_.async_connect(Target_,
+                               [this, C](const asio::error_code &Failed) {
+                                 if (Failed)
+                                   return C->close();
+                                 forward(C, true);
+                                 forward(C, false);
+                               });
   });
 }
 
-void Forwarder::pump(const std::shared_ptr<Pair> &P, bool Towards) {
-  if (Towards ? HoldTowards_ : HoldFrom_) {
-    P->Timers_[Towards].expires_after(HeldLook);
-    return P->Timers_[Towards].async_wait(
-        [this, P, Towards](const asio::error_code &Error) {
+void Forwarder::forward(const std::shared_ptr<Connection> &C, bool ToBalancer) {
+  if (ToBalancer ? PausedToBalancer_ : PausedFromBalancer_) {
+    C->Timers_[ToBalancer].expires_after(PausedPollInterval);
+    return C->Timers_[ToBalancer].async_wait(
+        [this, C, ToBalancer](const asio::error_code &Error) {
           if (!Error)
-            pump(P, Towards);
+            forward(C, ToBalancer);
         });
   }
-  auto &From = Towards ? P->Near_ : P->Far_;
-  From.async_read_some(
-      asio::buffer(P->Buffers_[Towards]),
-      [this, P, Towards](const asio::error_code &Error, std::size_t Size) {
+  auto &Source = ToBalancer ? C->Peer_ : C->Balancer_;
+  Source.async_read_some(
+      asio::buffer(C->Buffers_[ToBalancer]),
+      [this, C, ToBalancer](const asio::error_code &Error, std::size_t Size) {
         if (Error)
-          return P->close();
-        auto &To = Towards ? P->Far_ : P->Near_;
+          return C->close();
+        auto &Destination = ToBalancer ? C->Balancer_ : C->Peer_;
         asio::async_write(
-            To, asio::buffer(P->Buffers_[Towards].data(), Size),
-            [this, P, Towards](const asio::error_code &Failed, std::size_t) {
+            Destination, asio::buffer(C->Buffers_[ToBalancer].data(), Size),
+            [this, C, ToBalancer](const asio::error_code &Failed, std::size_t) {
               if (Failed)
-                P->close();
+                C->close();
               else
-                pump(P, Towards);
+                forward(C, ToBalancer);
             });
       });
 }
 
 void Forwarder::resetAll() {
-  for (const auto &Weak : Pairs_)
-    if (auto P = Weak.lock()) {
+  for (const auto &Weak : Connections_)
+    if (auto C = Weak.lock()) {
       asio::error_code Ignored;
-      P->Near_.set_option(asio::socket_base::linger(true, 0), Ignored);
-      P->close();
+      C->Peer_.set_option(asio::socket_base::linger(true, 0), Ignored);
+      C->close();
     }
 }
 
--- a/soak/soak-process.h
+++ b/soak/soak-process.h
@@ -25,12 +25,12 @@
   /// SIGKILL, and waits for the end.
   void kill();
   /// True when the process has ended; \p Status is that of `waitpid`.
-  bool ended(int &Status);
+  bool hasExited(int &Status);
   /// True when a line of its log holds the text.
-  bool logHolds(const std::string &Text) const;
+  bool logContains(const std::string &Text) const;
   bool running() const { return Pid_ > 0; }
   /// Writes the settings; broken ones for `Good` false.
-  void writeSettings(bool Good, int FlowLimitMs = 60'000);
+  void writeSettings(bool Valid, int FlowLimitMs = 60'000);
 
 private:
   std::string Program_;
@@ -46,23 +46,23 @@
             const std::string &Target, std::uint16_t Port);
 
   /// Bytes towards the balancer, or from it, wait while this is set.
-  void hold(bool Towards, bool From) {
-    HoldTowards_ = Towards;
-    HoldFrom_ = From;
+  void setPaused(bool ToBalancer, bool FromBalancer) {
+    PausedToBalancer_ = ToBalancer;
+    PausedFromBalancer_ = FromBalancer;
   }
   void resetAll();
 
 private:
-  struct Pair;
+  struct Connection;
   void accept();
-  void pump(const std::shared_ptr<Pair> &P, bool Towards);
+  void forward(const std::shared_ptr<Connection> &C, bool ToBalancer);
 
   asio::io_context &Context_;
   asio::ip::tcp::acceptor Acceptor_;
   asio::ip::tcp::endpoint Target_;
-  std::list<std::weak_ptr<Pair>> Pairs_;
-  bool HoldTowards_ = false;
-  bool HoldFrom_ = false;
+  std::list<std::weak_ptr<Connection>> Connections_;
+  bool PausedToBalancer_ = false;
+  bool PausedFromBalancer_ = false;
 };
 
 } // namespace thymewall::soak
--- a/soak/soak-world.cc
+++ b/soak/soak-world.cc
@@ -8,12 +8,12 @@
 
 using Json = nlohmann::json;
 
-constexpr std::size_t Places = 10;
+constexpr std::size_t UpstreamHosts = 10;
 constexpr std::size_t MaxFlows = 60;
-constexpr auto StepEvery = 10ms;
-constexpr auto GiveUpAfter = 3s;
+constexpr auto StepInterval = 10ms;
+constexpr auto RequestTimeout = 3s;
 /// A published entry of a dead upstream goes after three heartbeats.
-constexpr auto EntryGoneAfter = 2300ms;
+constexpr auto EntryExpiry = 2300ms;
 constexpr std::uint8_t Syn = 8;
 constexpr std::uint8_t Ack = 32;
 constexpr std::uint8_t Fin = 128;
@@ -27,8 +27,9 @@
 }
 
 /// A packet as either end of a flow writes it.
-std::vector<std::uint8_t> build(const Endpoint &From, const Endpoint &To,
-                                const Packet &Fields, std::uint8_t Flags) {
+std::vector<std::uint8_t> buildPacket(const Endpoint &From, const Endpoint &To,
+                                      const Packet &Fields,
+                                      std::uint8_t Flags) {
   std::vector<std::uint8_t> Bytes(platform::HeadSize + Fields.DataSize_);
   ResetFlow Addresses{To, From, Fields.Sequence_, ErrorKind::None};
   platform::encodeReset(Addresses, Bytes.data());
@@ -41,13 +42,15 @@
   return Bytes;
 }
 
-Endpoint addressAt(std::size_t Index) {
+Endpoint serviceEndpoint(std::size_t Index) {
   return Endpoint::v4(0xc6120001 + static_cast<std::uint32_t>(Index), 8443);
 }
 
-Endpoint callerAt(std::uint16_t Port) { return Endpoint::v4(0x7f000301, Port); }
+Endpoint callerEndpoint(std::uint16_t Port) {
+  return Endpoint::v4(0x7f000301, Port);
+}
 
-Endpoint place(std::size_t Index) {
+Endpoint upstreamEndpoint(std::size_t Index) {
   return parseEndpoint("127.0.2." + std::to_string(10 + Index) + ":" +
                        std::to_string(UpstreamPort));
 }
@@ -61,239 +64,253 @@
 
 } // namespace
 
-std::string World::hostOf(std::size_t Balancer) {
+std::string Environment::balancerHost(std::size_t Balancer) {
   return "127.0.1." + std::to_string(10 + Balancer);
 }
 
-World::World(asio::io_context &Context, std::size_t Balancers,
-             std::uint32_t Seed)
-    : Context_(Context), Random_(Seed), Service_(Context, Balancers),
-      Balancers_(Balancers), Loss_(Balancers, 0), In_(Balancers, 0),
-      Misses_(Balancers, 0),
-      Callers_(Context, callerAt(PacketPort),
-               [this](const Endpoint &, const std::uint8_t *Data,
-                      std::size_t Size) { onCaller(Data, Size); }),
+Environment::Environment(asio::io_context &Context, std::size_t Balancers,
+                         std::uint32_t Seed)
+    : Context_(Context), Random_(Seed), Configuration_(Context, Balancers),
+      BalancerFaults_(Balancers), LossRates_(Balancers, 0),
+      InRotation_(Balancers, 0), ProbeFailures_(Balancers, 0),
+      CallerSocket_(Context, callerEndpoint(PacketPort),
+                    [this](const Endpoint &, const std::uint8_t *Data,
+                           std::size_t Size) { onCallerPacket(Data, Size); }),
       Timer_(Context) {
-  for (std::size_t I = 0; I < Places; ++I) {
-    Places_.push_back(std::make_unique<detail::UdpSocket>(
-        Context, place(I),
+  for (std::size_t I = 0; I < UpstreamHosts; ++I) {
+    UpstreamSockets_.push_back(std::make_unique<detail::UdpSocket>(
+        Context, upstreamEndpoint(I),
         [this, I](const Endpoint &From, const std::uint8_t *Data,
-                  std::size_t Size) { onUpstream(I, From, Data, Size); }));
-    Doors_.push_back(nullptr);
+                  std::size_t Size) {
+          onUpstreamPacket(I, From, Data, Size);
+        }));
+    UpstreamListeners_.push_back(nullptr);
   }
   Addresses_ = {{"index", {}}, {"archive", {}}, {"index", {}}};
   publishRouting();
-  for (std::size_t I = 0; I < Places - 2; ++I)
+  for (std::size_t I = 0; I < UpstreamHosts - 2; ++I)
     addUpstream(I % 4 == 3 ? "archive" : "index", I);
   for (std::size_t I = 0; I < Balancers; ++I) {
-    Probes_.push_back(std::make_unique<detail::HttpClient>(
+    ReadinessClients_.push_back(std::make_unique<detail::HttpClient>(
         Context,
-        parseEndpoint(hostOf(I) + ":" + std::to_string(ReadinessPort))));
-    probe(I);
+        parseEndpoint(balancerHost(I) + ":" + std::to_string(ReadinessPort))));
+    probeReadiness(I);
   }
-  callers();
+  stepFlows();
 }
 
-void World::after(std::chrono::milliseconds Delay, std::function<void()> Do) {
+void Environment::runAfter(std::chrono::milliseconds Delay,
+                           std::function<void()> Callback) {
   auto Timer = std::make_shared<asio::steady_timer>(Context_, Delay);
-  Timer->async_wait([Timer, Do = std::move(Do)](const asio::error_code &E) {
-    if (!E)
-      Do();
-  });
+  Timer->async_wait(
+      [Timer, Callback = std::move(Callback)](const asio::error_code &E) {
+        if (!E)
+          Callback();
+      });
 }
 
-void World::breaks(const std::string &What) { Broken_.push_back(What); }
+void Environment::reportViolation(const std::string &What) {
+  Violations_.push_back(What);
+}
 
-void World::publishRouting() {
+void Environment::publishRouting() {
   Json Routes = Json::array();
   for (std::size_t I = 0; I < Addresses_.size(); ++I)
-    if (!Addresses_[I].RemovedSince_)
+    if (!Addresses_[I].RemovedAt_)
       Routes.push_back({{"hostname", "198.18.0." + std::to_string(I + 1)},
                         {"path-prefix", "/8443/"},
                         {"backend", Addresses_[I].Service_}});
-  Json Document = {{"version", ++Version_},
+  Json Document = {{"version", ++ConfigVersion_},
                    {"routes", Routes},
                    {"backends", {{{"name", "index"}}, {{"name", "archive"}}}},
                    {"limits", {{"idle-timeout-ms", 15000}}}};
-  Service_.put("op/config", Document.dump());
+  Configuration_.put("op/config", Document.dump());
 }
 
 /// The first address leads to the other service from now on.
-void World::moveAddress() {
+void Environment::reassignAddress() {
   SoakAddress &A = Addresses_[0];
-  A.Before_ = A.Service_;
+  A.PreviousService_ = A.Service_;
   A.Service_ = A.Service_ == "index" ? "archive" : "index";
   A.ChangedAt_ = now();
   publishRouting();
 }
 
 /// Drops the third address, or brings it back.
-void World::changeRouting() {
-  std::optional<SteadyTime> &Removed = Addresses_[2].RemovedSince_;
+void Environment::toggleRoute() {
+  std::optional<SteadyTime> &Removed = Addresses_[2].RemovedAt_;
   Removed = Removed ? std::optional<SteadyTime>() : now();
   Addresses_[2].ChangedAt_ = now();
   publishRouting();
 }
 
-void World::publish(const SoakUpstream &U) {
+void Environment::publishUpstream(const SoakUpstream &U) {
   Json Entry = {{"backend", U.Service_},
-                {"address", formatEndpoint(place(U.Place_))},
+                {"address", formatEndpoint(upstreamEndpoint(U.HostIndex_))},
                 {"zone", "hall-a"},
                 {"version", "v1"},
                 {"capacity", 2},
                 {"call-seq", 1},
-                {"state", U.LeavingSince_ ? "draining" : "ready"},
+                {"state", U.DrainingSince_ ? "draining" : "ready"},
                 {"warmup-left-ms", 0}};
-  Service_.put("servers/i-" + hex(U.Id_), Entry.dump());
+  Configuration_.put("servers/i-" + hex(U.Id_), Entry.dump());
 }
 
-void World::addUpstream(const std::string &Service, std::size_t Where) {
+void Environment::addUpstream(const std::string &Service,
+                              std::size_t HostIndex) {
   SoakUpstream U;
   U.Id_ = ++LastId_;
   U.Service_ = Service;
-  U.Place_ = Where;
-  asio::ip::udp::endpoint At = detail::toAsio(place(Where));
-  Doors_[Where] = std::make_unique<asio::ip::tcp::acceptor>(
+  U.HostIndex_ = HostIndex;
+  asio::ip::udp::endpoint At = detail::toAsio(upstreamEndpoint(HostIndex));
+  UpstreamListeners_[HostIndex] = std::make_unique<asio::ip::tcp::acceptor>(
       Context_, asio::ip::tcp::endpoint(At.address(), At.port()));
-  publish(U);
+  publishUpstream(U);
   Upstreams_[U.Id_] = U;
 }
 
-SoakUpstream *World::upstream(std::uint64_t Id) {
+SoakUpstream *Environment::findUpstream(std::uint64_t Id) {
   auto Known = Upstreams_.find(Id);
   return Known == Upstreams_.end() ? nullptr : &Known->second;
 }
 
 /// A living upstream of a service that has others.
-SoakUpstream *World::pick(std::mt19937 &Random) {
-  std::map<std::string, std::vector<SoakUpstream *>> Living;
+SoakUpstream *Environment::pickUpstream(std::mt19937 &Random) {
+  std::map<std::string, std::vector<SoakUpstream *>> Running;
   for (auto &[Id, U] : Upstreams_)
-    if (U.Alive_ && !U.LeavingSince_)
-      Living[U.Service_].push_back(&U);
-  auto &Of = Living[Random() % 3 == 0 ? "archive" : "index"];
-  return Of.size() < 2 ? nullptr : Of[Random() % Of.size()];
+    if (U.Alive_ && !U.DrainingSince_)
+      Running[U.Service_].push_back(&U);
+  auto &Candidates = Running[Random() % 3 == 0 ? "archive" : "index"];
+  return Candidates.size() < 2 ? nullptr
+                               : Candidates[Random() % Candidates.size()];
 }
 
-void World::endUpstream(std::uint64_t Id) {
+void Environment::stopUpstream(std::uint64_t Id) {
   SoakUpstream &U = Upstreams_[Id];
   U.Alive_ = false;
   U.Flows_.clear();
-  Doors_[U.Place_].reset();
+  UpstreamListeners_[U.HostIndex_].reset();
 }
 
 /// It falls silent; its address goes to the other service after a while.
-void World::upstreamDies(std::mt19937 &Random) {
-  SoakUpstream *U = pick(Random);
+void Environment::killUpstream(std::mt19937 &Random) {
+  SoakUpstream *U = pickUpstream(Random);
   if (!U)
     return;
   std::uint64_t Id = U->Id_;
-  std::size_t Where = U->Place_;
+  std::size_t HostIndex = U->HostIndex_;
   std::string Service = U->Service_;
-  endUpstream(Id);
-  after(EntryGoneAfter,
-        [this, Id] { Service_.remove("servers/i-" + hex(Id)); });
+  stopUpstream(Id);
+  runAfter(EntryExpiry,
+           [this, Id] { Configuration_.remove("servers/i-" + hex(Id)); });
   std::string Next = Random() % 3 == 0 ? "archive" : Service;
-  after(EntryGoneAfter + 2s, [this, Next, Where] { addUpstream(Next, Where); });
+  runAfter(EntryExpiry + 2s,
+           [this, Next, HostIndex] { addUpstream(Next, HostIndex); });
 }
 
-void World::upstreamDrains(std::mt19937 &Random) {
-  SoakUpstream *U = pick(Random);
+void Environment::drainUpstream(std::mt19937 &Random) {
+  SoakUpstream *U = pickUpstream(Random);
   if (!U)
     return;
   std::uint64_t Id = U->Id_;
-  std::size_t Where = U->Place_;
+  std::size_t HostIndex = U->HostIndex_;
   std::string Service = U->Service_;
-  U->LeavingSince_ = now();
-  publish(*U);
-  after(5s, [this, Id] {
-    Service_.remove("servers/i-" + hex(Id));
-    endUpstream(Id);
+  U->DrainingSince_ = now();
+  publishUpstream(*U);
+  runAfter(5s, [this, Id] {
+    Configuration_.remove("servers/i-" + hex(Id));
+    stopUpstream(Id);
   });
-  after(7s, [this, Service, Where] { addUpstream(Service, Where); });
+  runAfter(7s, [this, Service, HostIndex] { addUpstream(Service, HostIndex); });
 }
 
-void World::onUpstream(std::size_t Place, const Endpoint &From,
-                       const std::uint8_t *Data, std::size_t Size) {
+void Environment::onUpstreamPacket(std::size_t HostIndex, const Endpoint &From,
+                                   const std::uint8_t *Data, std::size_t Size) {
   Packet P;
   if (Size < platform::PrefixSize ||
       !platform::decodePacket(Data + platform::PrefixSize,
                               Size - platform::PrefixSize, P))
-    return breaks("an upstream got bytes that are no packet");
+    return reportViolation("an upstream got bytes that are no packet");
   std::uint64_t Id = 0;
   for (std::size_t I = 0; I < platform::PrefixSize; ++I)
     Id = Id << 8 | Data[I];
   auto Flow = Flows_.find(P.Caller_.Port_);
-  SoakUpstream *U = upstream(Id);
-  if (!U || !U->Alive_ || U->Place_ != Place)
+  SoakUpstream *U = findUpstream(Id);
+  if (!U || !U->Alive_ || U->HostIndex_ != HostIndex)
     return; // meant for one that is no longer here
   std::size_t Balancer = From.Address_[15] - 10U;
   if (P.Opens_)
-    return onOpening(*U, P, Balancer);
+    return onOpen(*U, P, Balancer);
   if (U->Flows_.count(P.Caller_.Port_) == 0) {
-    if (Flow != Flows_.end() && ++Flow->second.WrongUpstream_ >= 3)
-      breaks("a flow's packets reach another upstream");
-    return answer(P, *U, Rst, 0);
+    if (Flow != Flows_.end() && ++Flow->second.MisroutedPackets_ >= 3)
+      reportViolation("a flow's packets reach another upstream");
+    return sendToCaller(P, *U, Rst, 0);
   }
   if (P.Finishes_) {
     U->Flows_.erase(P.Caller_.Port_);
-    return answer(P, *U, Ack, 0);
+    return sendToCaller(P, *U, Ack, 0);
   }
   if (P.DataSize_ == 0)
     return;
   std::chrono::milliseconds Work(5 + Random_() % 40);
-  after(Work, [this, P, Id] {
-    SoakUpstream *Still = upstream(Id);
-    if (Still && Still->Alive_)
-      answer(P, *Still, Ack, 700);
+  runAfter(Work, [this, P, Id] {
+    SoakUpstream *Current = findUpstream(Id);
+    if (Current && Current->Alive_)
+      sendToCaller(P, *Current, Ack, 700);
   });
 }
 
-void World::onOpening(SoakUpstream &U, const Packet &P, std::size_t Balancer) {
+void Environment::onOpen(SoakUpstream &U, const Packet &P,
+                         std::size_t Balancer) {
   std::size_t Index = P.Service_.Address_[15] - 1U;
   const SoakAddress &A = Addresses_[Index];
-  bool Bound = Balancers_[Balancer].inTouch() && Core_.inTouch();
-  bool Earlier = A.Before_ == U.Service_;
-  if (Bound && Earlier && now() > A.ChangedAt_ + InForceWithin)
-    breaks("a flow opens under a routing table that is no longer in force");
-  if (A.Service_ != U.Service_ && !Earlier)
-    breaks("a flow of " + A.Service_ + " opens at " + U.Service_);
-  if (Bound && U.LeavingSince_ && now() > *U.LeavingSince_ + InForceWithin)
-    breaks("an upstream that is leaving gets a new flow");
-  if (Bound && A.RemovedSince_ && now() > *A.RemovedSince_ + InForceWithin)
-    breaks("a flow opens on an address that was dropped");
+  bool Settled =
+      BalancerFaults_[Balancer].recovered() && ConfigurationFaults_.recovered();
+  bool MatchesPrevious = A.PreviousService_ == U.Service_;
+  if (Settled && MatchesPrevious &&
+      now() > A.ChangedAt_ + RoutingChangeDeadline)
+    reportViolation(
+        "a flow opens under a routing table that is no longer in force");
+  if (A.Service_ != U.Service_ && !MatchesPrevious)
+    reportViolation("a flow of " + A.Service_ + " opens at " + U.Service_);
+  if (Settled && U.DrainingSince_ &&
+      now() > *U.DrainingSince_ + RoutingChangeDeadline)
+    reportViolation("an upstream that is leaving gets a new flow");
+  if (Settled && A.RemovedAt_ && now() > *A.RemovedAt_ + RoutingChangeDeadline)
+    reportViolation("a flow opens on an address that was dropped");
   U.Flows_.insert(P.Caller_.Port_);
-  answer(P, U, Syn | Ack, 0);
+  sendToCaller(P, U, Syn | Ack, 0);
 }
 
-void World::answer(const Packet &P, const SoakUpstream &, std::uint8_t Flags,
-                   std::uint16_t Data) {
+void Environment::sendToCaller(const Packet &P, const SoakUpstream &,
+                               std::uint8_t Flags, std::uint16_t Data) {
   Packet Fields;
   Fields.Cookie_ = P.Cookie_;
   Fields.Sequence_ = P.Acknowledged_ + 1;
   Fields.Acknowledged_ = P.Sequence_ + P.DataSize_;
   Fields.DataSize_ = Data;
-  auto Bytes = build(P.Service_, P.Caller_, Fields, Flags);
-  Callers_.send(callerAt(PacketPort), Bytes.data(), Bytes.size());
+  auto Bytes = buildPacket(P.Service_, P.Caller_, Fields, Flags);
+  CallerSocket_.send(callerEndpoint(PacketPort), Bytes.data(), Bytes.size());
 }
 
-void World::onCaller(const std::uint8_t *Data, std::size_t Size) {
+void Environment::onCallerPacket(const std::uint8_t *Data, std::size_t Size) {
   Packet P;
   if (!platform::decodePacket(Data, Size, P))
-    return breaks("a caller got bytes that are no packet");
+    return reportViolation("a caller got bytes that are no packet");
   auto Known = Flows_.find(P.Service_.Port_); // the receiver's port
   if (Known == Flows_.end())
     return;
   SoakFlow &F = Known->second;
   if (P.Resets_) {
     bool ByBalancer = Data[28] == 0;
-    SoakUpstream *U = upstream(F.Cookie_);
-    const SoakAddress &A = Addresses_[F.Address_];
-    bool Dropped = A.RemovedSince_ || now() < A.ChangedAt_ + InForceWithin;
+    SoakUpstream *U = findUpstream(F.Cookie_);
+    const SoakAddress &A = Addresses_[F.AddressIndex_];
+    bool Dropped = A.RemovedAt_ || now() < A.ChangedAt_ + RoutingChangeDeadline;
     if (ByBalancer && F.Open_ && U && U->Alive_ && !Dropped &&
         U->Flows_.count(Known->first) != 0)
-      breaks("a balancer reset a flow whose upstream lives");
+      reportViolation("a balancer reset a flow whose upstream lives");
     Counts_.Resets_ += ByBalancer ? 1 : 0;
-    Counts_.Failed_ += F.Waiting_ ? 1 : 0;
+    Counts_.Failed_ += F.AwaitingAnswer_ ? 1 : 0;
     Flows_.erase(Known);
     return;
   }
@@ -301,45 +318,49 @@
   if (P.Opens_ && !F.Open_) {
     F.Open_ = true;
     F.Acknowledged_ = P.Sequence_;
-    send(Known->first, F, Ack, F.Acknowledged_, 0);
-    F.SendAt_ = now();
+    sendToBalancer(Known->first, F, Ack, F.Acknowledged_, 0);
+    F.NextSendAt_ = now();
     return;
   }
-  if (P.DataSize_ == 0 || !F.Waiting_ || P.Acknowledged_ != F.Sequence_ + 100)
+  if (P.DataSize_ == 0 || !F.AwaitingAnswer_ ||
+      P.Acknowledged_ != F.Sequence_ + 100)
     return;
-  F.Waiting_ = false;
+  F.AwaitingAnswer_ = false;
   F.Acknowledged_ = P.Sequence_ + P.DataSize_;
   F.Sequence_ += 100;
   ++Counts_.Answered_;
-  if (now() - F.Started_ > 1s)
+  if (now() - F.StartedAt_ > 1s)
     ++Counts_.Late_;
-  send(Known->first, F, Ack, F.Acknowledged_, 0);
-  F.SendAt_ = now() + std::chrono::milliseconds(20 + Random_() % 200);
+  sendToBalancer(Known->first, F, Ack, F.Acknowledged_, 0);
+  F.NextSendAt_ = now() + std::chrono::milliseconds(20 + Random_() % 200);
 }
 
-void World::send(std::uint16_t Caller, const SoakFlow &F, std::uint8_t Flags,
-                 std::uint32_t Acknowledged, std::uint16_t Data) {
-  std::size_t Balancer = route(Caller);
-  if (std::uniform_real_distribution<>(0, 1)(Random_) < Loss_[Balancer])
+void Environment::sendToBalancer(std::uint16_t CallerPort, const SoakFlow &F,
+                                 std::uint8_t Flags, std::uint32_t Acknowledged,
+                                 std::uint16_t Data) {
+  std::size_t Balancer = selectBalancer(CallerPort);
+  if (std::uniform_real_distribution<>(0, 1)(Random_) < LossRates_[Balancer])
     return;
   Packet Fields;
   Fields.Cookie_ = F.Cookie_;
   Fields.Sequence_ = F.Sequence_;
   Fields.Acknowledged_ = Acknowledged;
   Fields.DataSize_ = Data;
-  auto Bytes = build(callerAt(Caller), addressAt(F.Address_), Fields, Flags);
-  Callers_.send(
-      parseEndpoint(hostOf(Balancer) + ":" + std::to_string(PacketPort)),
+  auto Bytes = buildPacket(callerEndpoint(CallerPort),
+                           serviceEndpoint(F.AddressIndex_), Fields, Flags);
+  CallerSocket_.send(
+      parseEndpoint(balancerHost(Balancer) + ":" + std::to_string(PacketPort)),
       Bytes.data(), Bytes.size());
 }
 
-std::size_t World::route(std::uint16_t Caller) const {
-  bool Any = std::any_of(In_.begin(), In_.end(), [](char In) { return In; });
+std::size_t Environment::selectBalancer(std::uint16_t CallerPort) const {
+  bool Any = std::any_of(InRotation_.begin(), InRotation_.end(),
+                         [](char In) { return In; });
   std::size_t Best = 0;
   std::uint64_t BestScore = 0;
-  for (std::size_t I = 0; I < In_.size(); ++I) {
-    std::uint64_t Score = hashPair(Caller, I) | 1;
-    if ((In_[I] || !Any) && Score > BestScore) {
+  for (std::size_t I = 0; I < InRotation_.size(); ++I) {
+    std::uint64_t Score = hashPair(CallerPort, I) | 1;
+    if ((InRotation_[I] || !Any) && Score > BestScore) {
       Best = I;
       BestScore = Score;
     }
@@ -347,72 +368,76 @@
   return Best;
 }
 
-void World::probe(std::size_t Balancer) {
-  Probes_[Balancer]->get("/thymewall/readiness", now() + 400ms,
-                         [this, Balancer](std::optional<detail::HttpAnswer> A,
-                                          const std::string &) {
-                           bool Good = A && A->Status_ == 200;
-                           Misses_[Balancer] = Good ? 0 : Misses_[Balancer] + 1;
-                           if (Good || Misses_[Balancer] >= 2)
-                             In_[Balancer] = Good;
-                           after(500ms, [this, Balancer] { probe(Balancer); });
-                         });
+void Environment::probeReadiness(std::size_t Balancer) {
+  ReadinessClients_[Balancer]->get(
+      "/thymewall/readiness", now() + 400ms,
+      [this, Balancer](std::optional<detail::HttpAnswer> A,
+                       const std::string &) {
+        bool Healthy = A && A->Status_ == 200;
+        ProbeFailures_[Balancer] = Healthy ? 0 : ProbeFailures_[Balancer] + 1;
+        if (Healthy || ProbeFailures_[Balancer] >= 2)
+          InRotation_[Balancer] = Healthy;
+        runAfter(500ms, [this, Balancer] { probeReadiness(Balancer); });
+      });
 }
 
-void World::startFlow() {
+void Environment::startFlow() {
   SoakFlow F;
-  F.Address_ = Random_() % Addresses_.size();
-  if (Addresses_[F.Address_].RemovedSince_ && Random_() % 4 != 0)
-    F.Address_ = 0;
+  F.AddressIndex_ = Random_() % Addresses_.size();
+  if (Addresses_[F.AddressIndex_].RemovedAt_ && Random_() % 4 != 0)
+    F.AddressIndex_ = 0;
   F.RequestsLeft_ =
       Random_() % 3 == 0 ? 1 : 5 + static_cast<int>(Random_() % 40);
-  F.Started_ = F.SendAt_ = now();
-  LastCaller_ = LastCaller_ == 60000 ? 1025 : LastCaller_ + 1;
-  if (LastCaller_ != PacketPort)
-    Flows_[LastCaller_] = F;
+  F.StartedAt_ = F.NextSendAt_ = now();
+  LastCallerPort_ = LastCallerPort_ == 60000 ? 1025 : LastCallerPort_ + 1;
+  if (LastCallerPort_ != PacketPort)
+    Flows_[LastCallerPort_] = F;
 }
 
-void World::stepFlow(std::uint16_t Caller, SoakFlow &F) {
+void Environment::stepFlow(std::uint16_t CallerPort, SoakFlow &F) {
   if (!F.Open_) {
-    send(Caller, F, Syn, static_cast<std::uint32_t>(F.Copies_), 0);
-    F.SendAt_ = now() + (F.Copies_ == 0 ? 200ms : 400ms);
-    ++F.Copies_;
+    sendToBalancer(CallerPort, F, Syn,
+                   static_cast<std::uint32_t>(F.OpenPacketsSent_), 0);
+    F.NextSendAt_ = now() + (F.OpenPacketsSent_ == 0 ? 200ms : 400ms);
+    ++F.OpenPacketsSent_;
     return;
   }
-  if (!F.Waiting_) {
+  if (!F.AwaitingAnswer_) {
     --F.RequestsLeft_;
-    F.Waiting_ = true;
-    F.Started_ = now();
-    F.Pause_ = 200ms;
+    F.AwaitingAnswer_ = true;
+    F.StartedAt_ = now();
+    F.RetryDelay_ = 200ms;
     ++Counts_.Requests_;
   }
-  send(Caller, F, Ack, F.Acknowledged_, 100);
-  F.SendAt_ = now() + F.Pause_;
-  F.Pause_ = std::min<std::chrono::milliseconds>(2 * F.Pause_, 1600ms);
+  sendToBalancer(CallerPort, F, Ack, F.Acknowledged_, 100);
+  F.NextSendAt_ = now() + F.RetryDelay_;
+  F.RetryDelay_ =
+      std::min<std::chrono::milliseconds>(2 * F.RetryDelay_, 1600ms);
 }
 
-void World::callers() {
+void Environment::stepFlows() {
   std::vector<std::uint16_t> Ended;
-  for (auto &[Caller, F] : Flows_) {
-    bool Done = F.Open_ && !F.Waiting_ && F.RequestsLeft_ <= 0;
-    bool GivenUp = (F.Waiting_ && now() > F.Started_ + GiveUpAfter) ||
-                   (!F.Open_ && F.Copies_ > 3);
+  for (auto &[CallerPort, F] : Flows_) {
+    bool Done = F.Open_ && !F.AwaitingAnswer_ && F.RequestsLeft_ <= 0;
+    bool TimedOut =
+        (F.AwaitingAnswer_ && now() > F.StartedAt_ + RequestTimeout) ||
+        (!F.Open_ && F.OpenPacketsSent_ > 3);
     if (Done)
-      send(Caller, F, Fin, F.Acknowledged_, 0);
-    Counts_.Failed_ += GivenUp && F.Waiting_ ? 1 : 0;
-    if (Done || GivenUp)
-      Ended.push_back(Caller);
-    else if (now() >= F.SendAt_)
-      stepFlow(Caller, F);
+      sendToBalancer(CallerPort, F, Fin, F.Acknowledged_, 0);
+    Counts_.Failed_ += TimedOut && F.AwaitingAnswer_ ? 1 : 0;
+    if (Done || TimedOut)
+      Ended.push_back(CallerPort);
+    else if (now() >= F.NextSendAt_)
+      stepFlow(CallerPort, F);
   }
-  for (std::uint16_t Caller : Ended)
-    Flows_.erase(Caller);
+  for (std::uint16_t CallerPort : Ended)
+    Flows_.erase(CallerPort);
   if (Traffic_ && Flows_.size() < MaxFlows)
     startFlow();
-  Timer_.expires_after(StepEvery);
+  Timer_.expires_after(StepInterval);
   Timer_.async_wait([this](const asio::error_code &Error) {
     if (!Error)
-      callers();
+      stepFlows();
   });
 }
 
