--- a/soak/soak-main.cc
+++ b/soak/soak-main.cc
@@ -1,4 +1,4 @@
-// thymewall-soak: real balancers under faults from outside, on one machine.
+// thymewall-soak: runs balancer processes on one machine and injects faults.
 #include "program.h"
 #include "soak-process.h"
 #include "soak-world.h"
@@ -16,9 +16,10 @@
 
 using Millis = std::chrono::milliseconds;
 
-/// Between the last fault and the judgement of what is served.
+/// Time without faults at the end of the test.
 constexpr Millis QuietPeriod = 8000ms;
-/// Of the quiet time, its last part counts: recovery may take the rest.
+/// Last part of `QuietPeriod`, in which requests must be answered; the time
+/// before it is for recovery.
 constexpr Millis MeasuredPeriod = 3000ms;
 constexpr double MinAnsweredShare = 0.98;
 
@@ -39,7 +40,7 @@
     }
   }
 
-  /// Runs, and prints what was seen; true when no promise was broken.
+  /// Runs the test and prints its results. Returns whether every check passed.
   bool run(Millis FaultTime, bool PlannedOnly) {
     PlannedOnly_ = PlannedOnly;
     schedule(2s, [this] { Environment_.setTraffic(true); });
@@ -67,8 +68,8 @@
         });
   }
 
-  /// Rolling stops of all balancers, an address moved to the other service
-  /// before and in the middle of each round.
+  /// Schedules a rolling restart of all balancers. An address is reassigned to
+  /// the other service at the start and in the middle of each round.
   void scheduleRollingRestarts(Millis FaultTime) {
     std::size_t Next = 0;
     for (Millis At = 4s; At < FaultTime; At += Millis(700 + Random_() % 800)) {
@@ -82,7 +83,7 @@
     }
   }
 
-  /// One fault, drawn at random; they overlap.
+  /// Injects a random fault; faults may overlap.
   void injectFault() {
     std::size_t I = Random_() % Children_.size();
     Millis Duration(300 + Random_() % 3500);
@@ -142,7 +143,7 @@
     schedule(Duration, [this, I] { Children_[I]->signal(SIGCONT); });
   }
 
-  /// A planned stop; the process is started again when it has ended.
+  /// Stops a balancer by SIGTERM; `watchChildren()` restarts it.
   void stop(std::size_t I) {
     Environment_.balancerFaults(I).extend(8s);
     Children_[I]->signal(SIGTERM);
@@ -193,7 +194,7 @@
     schedule(Duration, [this, I] { Environment_.lossRate(I) = 0; });
   }
 
-  /// Starts processes that ended as asked, and notes those that did not.
+  /// Restarts processes that have exited and records unexpected exit statuses.
   void watchChildren() {
     for (std::size_t I = 0; I < Children_.size(); ++I) {
       int Status = 0;
@@ -201,7 +202,7 @@
         continue;
       if (!WIFEXITED(Status) || WEXITSTATUS(Status) != 0)
         UnexpectedExits_.push_back("lb-" + std::to_string(I) +
-                                   " ended with status " +
+                                   " exited with wait status " +
                                    std::to_string(Status));
       restartExited(I);
     }
@@ -217,12 +218,13 @@
       Child->signal(SIGTERM);
   }
 
-  /// Balancers of one version must understand each other.
+  /// Returns whether no balancer refused a message of a peer: balancers of the
+  /// same version must accept each other's messages.
   bool peersAcceptedAllMessages() const {
     bool Clean = true;
     for (const auto &Child : Children_)
       if (Child->logContains("peer_message_refused")) {
-        std::cout << "broken: a balancer refused a peer's message\n";
+        std::cout << "violation: a balancer refused a message of a peer\n";
         Clean = false;
       }
     return Clean;
@@ -236,23 +238,24 @@
         static_cast<double>(CountsAfter_.Answered_ - CountsBefore_.Answered_);
     bool Recovered = Sent > 0 && Answered >= MinAnsweredShare * Sent;
     for (const std::string &What : Environment_.violations())
-      std::cout << "broken: " << What << "\n";
+      std::cout << "violation: " << What << "\n";
     for (const std::string &What : UnexpectedExits_)
-      std::cout << "broken: " << What << "\n";
+      std::cout << "violation: " << What << "\n";
     if (!Recovered)
-      std::cout << "broken: " << Answered << " of " << Sent
+      std::cout << "violation: " << Answered << " of " << Sent
                 << " requests answered after the last fault\n";
     if (NotReady_ != 0)
-      std::cout << "broken: " << NotReady_ << " balancers not ready\n";
+      std::cout << "violation: " << NotReady_ << " balancers not ready\n";
     std::size_t Running = 0;
     for (const auto &Child : Children_)
       Running += Child->running() ? 1 : 0;
     if (Running != 0)
-      std::cout << "broken: " << Running << " processes did not stop in time\n";
+      std::cout << "violation: " << Running
+                << " processes did not stop in time\n";
     bool LostRequests = PlannedOnly_ && Total.Failed_ != 0;
     if (LostRequests)
-      std::cout << "broken: " << Total.Failed_
-                << " requests of open flows failed under planned work\n";
+      std::cout << "violation: " << Total.Failed_
+                << " requests failed during rolling restarts\n";
     std::cout << "requests " << Total.Requests_ << ", answered "
               << Total.Answered_ << ", late " << Total.Late_ << ", failed "
               << Total.Failed_ << ", resets by balancers " << Total.Resets_
@@ -280,20 +283,23 @@
 
 int main(int Count, char **Values) {
   return runProgram([&] {
-    cxxopts::Options Options("thymewall-soak",
-                             "Strikes real balancers with faults.");
-    Options.add_options()("seed", "draws the faults",
+    cxxopts::Options Options(
+        "thymewall-soak",
+        "Injects faults into balancer processes and checks their guarantees.");
+    Options.add_options()("seed", "seed of the random faults",
                           cxxopts::value<std::uint32_t>()->default_value("1"))(
-        "seconds", "time of faults",
+        "seconds", "time in which faults are injected",
         cxxopts::value<int>()->default_value("20"))(
-        "balancers", "processes, at most 200",
+        "balancers", "number of balancers, at most 200",
         cxxopts::value<std::size_t>()->default_value("6"))(
-        "planned", "no faults: rolling stops beside changes of routes")(
-        "program", "thymewall-packet-balancer", cxxopts::value<std::string>())(
-        "folder", "for settings and logs", cxxopts::value<std::string>());
+        "planned", "no faults, only rolling restarts and route changes")(
+        "program", "path of thymewall-packet-balancer",
+        cxxopts::value<std::string>())("folder", "folder for settings and logs",
+                                       cxxopts::value<std::string>());
     auto Arguments = parseArguments(Options, Count, Values);
     if (Arguments.count("program") == 0 || Arguments.count("folder") == 0)
-      throw std::runtime_error("--program FILE and --folder FOLDER are needed");
+      throw std::runtime_error(
+          "--program FILE and --folder FOLDER are required");
     auto Folder = Arguments["folder"].as<std::string>();
     std::filesystem::create_directories(Folder);
     auto Seed = Arguments["seed"].as<std::uint32_t>();
@@ -302,7 +308,7 @@
     Soak Test(Seed, Balancers, Arguments["program"].as<std::string>(), Folder);
     bool Passed = Test.run(std::chrono::seconds(Arguments["seconds"].as<int>()),
                            Arguments.count("planned") != 0);
-    std::cout << "seed " << Seed << ": " << (Passed ? "kept" : "BROKEN")
+    std::cout << "seed " << Seed << ": " << (Passed ? "passed" : "FAILED")
               << "\n";
     return Passed ? ExitDone : ExitFoundWrong;
   });
--- a/soak/soak-process.cc
+++ b/soak/soak-process.cc
@@ -70,7 +70,7 @@
   posix_spawn_file_actions_addopen(&Actions, STDOUT_FILENO, Log.c_str(),
                                    O_WRONLY | O_CREAT | O_APPEND, 0644);
   posix_spawn_file_actions_adddup2(&Actions, STDOUT_FILENO, STDERR_FILENO);
-  // A child that held one of our listening sockets would keep it open.
+  // An inherited listening socket would stay open for the child's lifetime.
   posix_spawn_file_actions_addclosefrom_np(&Actions, STDERR_FILENO + 1);
   std::string Option = "--config";
   char *Arguments[] = {Program_.data(), Option.data(), Settings.data(),
@@ -115,8 +115,8 @@
       : Peer_(Context),
         Balancer_(Context), Timers_{asio::steady_timer(Context),
                                     asio::steady_timer(Context)} {}
-  asio::ip::tcp::socket Peer_;     ///< The peer that connected.
-  asio::ip::tcp::socket Balancer_; ///< The balancer.
+  asio::ip::tcp::socket Peer_;     ///< Accepted connection.
+  asio::ip::tcp::socket Balancer_; ///< Connection to the balancer.
   asio::steady_timer Timers_[2];
   std::array<char, 4096> Buffers_[2]{};
 
--- a/soak/soak-process.h
+++ b/soak/soak-process.h
@@ -1,6 +1,6 @@
 /// \file
-/// A balancer's process in a soak, and a TCP forwarder in front of its control
-/// address that can hold connections up, or reset them.
+/// Child process that runs a balancer in a soak test, and a TCP forwarder in
+/// front of its control address that can pause or reset connections.
 #ifndef THYMEWALL_SOAK_PROCESS_H
 #define THYMEWALL_SOAK_PROCESS_H
 
@@ -13,23 +13,25 @@
 
 namespace thymewall::soak {
 
+/// Balancer that runs as a child process.
 class BalancerChild {
 public:
-  /// \p Folder takes the settings and the log of each process.
+  /// The settings and the log of the process are files in \p Folder.
   BalancerChild(std::string Program, std::string Folder, std::size_t Index,
                 std::size_t Count);
-  ~BalancerChild(); ///< Ends the process, by its id.
+  ~BalancerChild(); ///< Kills the process if it runs.
 
   void start();
   void signal(int Signal);
-  /// SIGKILL, and waits for the end.
+  /// Sends SIGKILL and waits for the process to exit.
   void kill();
-  /// True when the process has ended; \p Status is that of `waitpid`.
+  /// Returns whether the process has exited, and sets \p Status to the status
+  /// from `waitpid`.
   bool hasExited(int &Status);
-  /// True when a line of its log holds the text.
+  /// Returns whether a line of the log contains \p Text.
   bool logContains(const std::string &Text) const;
   bool running() const { return Pid_ > 0; }
-  /// Writes the settings; broken ones for `Good` false.
+  /// Writes the settings file; malformed JSON if \p Valid is false.
   void writeSettings(bool Valid, int FlowLimitMs = 60'000);
 
 private:
@@ -40,16 +42,18 @@
   pid_t Pid_ = 0;
 };
 
+/// Forwards TCP connections to a balancer's control address.
 class Forwarder {
 public:
   Forwarder(asio::io_context &Context, const std::string &Listen,
             const std::string &Target, std::uint16_t Port);
 
-  /// Bytes towards the balancer, or from it, wait while this is set.
+  /// Pauses or resumes forwarding in each direction.
   void setPaused(bool ToBalancer, bool FromBalancer) {
     PausedToBalancer_ = ToBalancer;
     PausedFromBalancer_ = FromBalancer;
   }
+  /// Closes all connections by RST.
   void resetAll();
 
 private:
--- a/soak/soak-service.cc
+++ b/soak/soak-service.cc
@@ -86,7 +86,7 @@
     const detail::HttpServer::Reply &SendReply) {
   const ConfigurationFault &Fault = Faults_[Balancer];
   if (Fault.Unresponsive_)
-    return; // the connection stays open, without an answer
+    return; // the connection stays open without a response
   if (Fault.Unavailable_)
     return SendReply({503, "text/plain", ""});
   bool Watch = Target.find("kv-watch") != std::string::npos;
--- a/soak/soak-world.cc
+++ b/soak/soak-world.cc
@@ -12,13 +12,13 @@
 constexpr std::size_t MaxFlows = 60;
 constexpr auto StepInterval = 10ms;
 constexpr auto RequestTimeout = 3s;
-/// A published entry of a dead upstream goes after three heartbeats.
+/// Time until the entry of a stopped upstream is removed: three heartbeats.
 constexpr auto EntryExpiry = 2300ms;
 constexpr std::uint8_t Syn = 8;
 constexpr std::uint8_t Ack = 32;
 constexpr std::uint8_t Fin = 128;
 constexpr std::uint8_t Rst = 1;
-/// Marks what upstreams and callers wrote: balancers' resets have 0 there.
+/// Set in packets of upstreams and callers; resets by balancers have 0 instead.
 constexpr std::uint8_t Checksum = 0x5a;
 
 void store32(std::uint8_t *To, std::uint32_t Value) {
@@ -26,7 +26,7 @@
     To[I] = static_cast<std::uint8_t>(Value >> (8 * I));
 }
 
-/// A packet as either end of a flow writes it.
+/// Encodes a packet of a caller or an upstream.
 std::vector<std::uint8_t> buildPacket(const Endpoint &From, const Endpoint &To,
                                       const Packet &Fields,
                                       std::uint8_t Flags) {
@@ -127,7 +127,6 @@
   Configuration_.put("op/config", Document.dump());
 }
 
-/// The first address leads to the other service from now on.
 void Environment::reassignAddress() {
   SoakAddress &A = Addresses_[0];
   A.PreviousService_ = A.Service_;
@@ -136,7 +135,6 @@
   publishRouting();
 }
 
-/// Drops the third address, or brings it back.
 void Environment::toggleRoute() {
   std::optional<SteadyTime> &Removed = Addresses_[2].RemovedAt_;
   Removed = Removed ? std::optional<SteadyTime>() : now();
@@ -174,7 +172,6 @@
   return Known == Upstreams_.end() ? nullptr : &Known->second;
 }
 
-/// A living upstream of a service that has others.
 SoakUpstream *Environment::pickUpstream(std::mt19937 &Random) {
   std::map<std::string, std::vector<SoakUpstream *>> Running;
   for (auto &[Id, U] : Upstreams_)
@@ -192,7 +189,6 @@
   UpstreamListeners_[U.HostIndex_].reset();
 }
 
-/// It falls silent; its address goes to the other service after a while.
 void Environment::killUpstream(std::mt19937 &Random) {
   SoakUpstream *U = pickUpstream(Random);
   if (!U)
@@ -230,20 +226,20 @@
   if (Size < platform::PrefixSize ||
       !platform::decodePacket(Data + platform::PrefixSize,
                               Size - platform::PrefixSize, P))
-    return reportViolation("an upstream got bytes that are no packet");
+    return reportViolation("an upstream received a malformed packet");
   std::uint64_t Id = 0;
   for (std::size_t I = 0; I < platform::PrefixSize; ++I)
     Id = Id << 8 | Data[I];
   auto Flow = Flows_.find(P.Caller_.Port_);
   SoakUpstream *U = findUpstream(Id);
   if (!U || !U->Alive_ || U->HostIndex_ != HostIndex)
-    return; // meant for one that is no longer here
+    return; // the addressed upstream is no longer running
   std::size_t Balancer = From.Address_[15] - 10U;
   if (P.Opens_)
     return onOpen(*U, P, Balancer);
   if (U->Flows_.count(P.Caller_.Port_) == 0) {
     if (Flow != Flows_.end() && ++Flow->second.MisroutedPackets_ >= 3)
-      reportViolation("a flow's packets reach another upstream");
+      reportViolation("packets of a flow reached a different upstream");
     return sendToCaller(P, *U, Rst, 0);
   }
   if (P.Finishes_) {
@@ -269,15 +265,15 @@
   bool MatchesPrevious = A.PreviousService_ == U.Service_;
   if (Settled && MatchesPrevious &&
       now() > A.ChangedAt_ + RoutingChangeDeadline)
-    reportViolation(
-        "a flow opens under a routing table that is no longer in force");
+    reportViolation("a flow was opened by an outdated routing table");
   if (A.Service_ != U.Service_ && !MatchesPrevious)
-    reportViolation("a flow of " + A.Service_ + " opens at " + U.Service_);
+    reportViolation("a flow to service " + A.Service_ +
+                    " was opened at an upstream of " + U.Service_);
   if (Settled && U.DrainingSince_ &&
       now() > *U.DrainingSince_ + RoutingChangeDeadline)
-    reportViolation("an upstream that is leaving gets a new flow");
+    reportViolation("a draining upstream received a new flow");
   if (Settled && A.RemovedAt_ && now() > *A.RemovedAt_ + RoutingChangeDeadline)
-    reportViolation("a flow opens on an address that was dropped");
+    reportViolation("a flow was opened on a removed address");
   U.Flows_.insert(P.Caller_.Port_);
   sendToCaller(P, U, Syn | Ack, 0);
 }
@@ -296,8 +292,9 @@
 void Environment::onCallerPacket(const std::uint8_t *Data, std::size_t Size) {
   Packet P;
   if (!platform::decodePacket(Data, Size, P))
-    return reportViolation("a caller got bytes that are no packet");
-  auto Known = Flows_.find(P.Service_.Port_); // the receiver's port
+    return reportViolation("a caller received a malformed packet");
+  auto Known = Flows_.find(
+      P.Service_.Port_); // the destination port is decoded as the service's
   if (Known == Flows_.end())
     return;
   SoakFlow &F = Known->second;
@@ -308,7 +305,7 @@
     bool Dropped = A.RemovedAt_ || now() < A.ChangedAt_ + RoutingChangeDeadline;
     if (ByBalancer && F.Open_ && U && U->Alive_ && !Dropped &&
         U->Flows_.count(Known->first) != 0)
-      reportViolation("a balancer reset a flow whose upstream lives");
+      reportViolation("a balancer reset a flow whose upstream is running");
     Counts_.Resets_ += ByBalancer ? 1 : 0;
     Counts_.Failed_ += F.AwaitingAnswer_ ? 1 : 0;
     Flows_.erase(Known);
--- a/soak/soak-world.h
+++ b/soak/soak-world.h
@@ -1,7 +1,8 @@
 /// \file
-/// What surrounds the balancers in a soak, all in one process on loopback: the
-/// configuration service, the fabric, upstreams and callers. It checks the
-/// promises from what callers and upstreams see.
+/// Simulated environment of the balancers in a soak test: the configuration
+/// service, the network fabric, upstreams and callers, all in one process on
+/// loopback. Checks the balancers' guarantees from the packets that callers and
+/// upstreams receive.
 #ifndef THYMEWALL_SOAK_WORLD_H
 #define THYMEWALL_SOAK_WORLD_H
 
@@ -24,12 +25,14 @@
 
 inline SteadyTime now() { return std::chrono::steady_clock::now(); }
 
-/// After the end of a fault this long, its victim must keep every bound.
+/// Time after the end of a fault until the affected party must meet every
+/// deadline again.
 constexpr auto FaultRecoveryTime = 4s;
-/// A leaving upstream, or a dropped address, gets nothing new after this.
+/// Time until a draining upstream, or a removed or reassigned address, must
+/// receive no new flows by its earlier state.
 constexpr auto RoutingChangeDeadline = 3s;
 
-/// Ports that all parties use on their own loopback addresses.
+/// Ports that every party listens on, each at its own loopback address.
 enum Port : std::uint16_t {
   PacketPort = 17440,
   ReadinessPort,
@@ -39,7 +42,7 @@
   ServicePort
 };
 
-/// Something that faults strike; undisturbed once the last one is long over.
+/// Time window in which a component may be affected by injected faults.
 struct FaultWindow {
   SteadyTime End_{};
   void extend(std::chrono::milliseconds Duration) {
@@ -48,28 +51,29 @@
   bool recovered() const { return now() > End_ + FaultRecoveryTime; }
 };
 
-/// Faults of the configuration service towards one balancer.
+/// Faults that the configuration service shows to one balancer.
 struct ConfigurationFault {
-  bool Unavailable_ = false;
-  bool Unresponsive_ = false;
-  bool Slow_ = false;
+  bool Unavailable_ = false;  ///< Responds with status 503.
+  bool Unresponsive_ = false; ///< Keeps connections open without a response.
+  bool Slow_ = false;         ///< Delays each response.
 };
 
-/// The configuration service: one address a balancer, so that faults can strike
-/// one alone.
+/// Configuration service with a separate address for each balancer, so that
+/// faults can be injected for one balancer alone.
 class ConfigurationService {
 public:
   ConfigurationService(asio::io_context &Context, std::size_t Balancers);
 
   void put(const std::string &Key, const std::string &Json);
   void remove(const std::string &Key);
+  /// Drops past events: a watch from an earlier revision gets status 410.
   void compactHistory() { CompactedRevision_ = Revision_; }
   ConfigurationFault &fault(std::size_t Balancer) { return Faults_[Balancer]; }
   static Endpoint endpointFor(std::size_t Balancer);
 
 private:
   struct Item {
-    std::string Json_; ///< Empty when it is gone.
+    std::string Json_; ///< Empty for a removed item.
     Revision ModRevision_ = 0;
   };
   struct PendingRequest {
@@ -80,8 +84,11 @@
   };
   void handleRequest(std::size_t Balancer, const std::string &Target,
                      const detail::HttpServer::Reply &SendReply);
+  /// Returns the items that changed after revision \p After.
   std::string eventsJson(Revision After) const;
+  /// Returns all items that exist.
   std::string itemsJson() const;
+  /// Responds to the pending requests that are due.
   void completeRequests();
 
   asio::steady_timer Timer_;
@@ -93,20 +100,20 @@
   Revision CompactedRevision_ = 0;
 };
 
-/// One start of an upstream.
+/// Instance of an upstream, from its start to its end.
 struct SoakUpstream {
   std::uint64_t Id_ = 0;
   std::string Service_;
-  std::size_t HostIndex_ = 0; ///< Its address.
+  std::size_t HostIndex_ = 0; ///< Index of its address.
   std::set<std::uint16_t> Flows_;
   std::optional<SteadyTime> DrainingSince_;
   FaultWindow Faults_;
   bool Alive_ = true;
 };
 
-/// A caller's flow.
+/// Flow of a caller.
 struct SoakFlow {
-  std::size_t AddressIndex_ = 0; ///< Which of the service addresses.
+  std::size_t AddressIndex_ = 0; ///< Index of the service address.
   Cookie Cookie_ = 0;
   std::uint32_t Sequence_ = 1;
   std::uint32_t Acknowledged_ = 0;
@@ -114,29 +121,30 @@
   int OpenPacketsSent_ = 0;
   int MisroutedPackets_ = 0;
   bool Open_ = false;
-  bool AwaitingAnswer_ = false; ///< For an answer.
-  SteadyTime StartedAt_{};      ///< Of the opening or the request.
-  SteadyTime NextSendAt_{};     ///< When the next packet, or copy, is due.
+  bool AwaitingAnswer_ = false;
+  SteadyTime StartedAt_{};  ///< Start of the open or of the current request.
+  SteadyTime NextSendAt_{}; ///< Time of the next packet or retransmission.
   std::chrono::milliseconds RetryDelay_{200};
 };
 
-/// One address that callers use.
+/// Service address that callers send to.
 struct SoakAddress {
   std::string Service_;
   std::optional<SteadyTime> RemovedAt_;
   SteadyTime ChangedAt_{};
-  std::string
-      PreviousService_{}; ///< The service that it led to before `ChangedAt_`.
+  std::string PreviousService_{}; ///< Service before `ChangedAt_`.
 };
 
 struct SoakCounts {
   std::uint64_t Requests_ = 0;
   std::uint64_t Answered_ = 0;
-  std::uint64_t Late_ = 0; ///< Answered after over a second.
+  std::uint64_t Late_ = 0; ///< Answered after more than 1 s.
   std::uint64_t Failed_ = 0;
-  std::uint64_t Resets_ = 0; ///< By balancers.
+  std::uint64_t Resets_ = 0; ///< Flows that balancers reset.
 };
 
+/// Runs the configuration service, upstreams and callers, and records
+/// violations of the balancers' guarantees.
 class Environment {
 public:
   Environment(asio::io_context &Context, std::size_t Balancers,
@@ -147,16 +155,22 @@
     return BalancerFaults_[Index];
   }
   FaultWindow &configurationFaults() { return ConfigurationFaults_; }
+  /// Share of the packets to a balancer that are dropped.
   double &lossRate(std::size_t Index) { return LossRates_[Index]; }
-  /// Lets callers begin, or stop opening flows.
+  /// Sets whether callers open new flows.
   void setTraffic(bool On) { Traffic_ = On; }
+  /// Stops an upstream without notice and starts another one at its address.
   void killUpstream(std::mt19937 &Random);
+  /// Drains an upstream, stops it and starts another one at its address.
   void drainUpstream(std::mt19937 &Random);
+  /// Removes the route of the third address, or restores it.
   void toggleRoute();
+  /// Routes the first address to the other service.
   void reassignAddress();
+  /// Returns whether the readiness probes keep a balancer in rotation.
   bool inRotation(std::size_t Index) const { return InRotation_[Index]; }
   const SoakCounts &counts() const { return Counts_; }
-  /// Promises that were seen broken.
+  /// Descriptions of the violated guarantees.
   const std::vector<std::string> &violations() const { return Violations_; }
 
   static std::string balancerHost(std::size_t Balancer);
@@ -167,6 +181,7 @@
   void publishUpstream(const SoakUpstream &U);
   void publishRouting();
   SoakUpstream *findUpstream(std::uint64_t Id);
+  /// Returns a running upstream of a service that has others, or null.
   SoakUpstream *pickUpstream(std::mt19937 &Random);
   void onUpstreamPacket(std::size_t HostIndex, const Endpoint &From,
                         const std::uint8_t *Data, std::size_t Size);
@@ -181,6 +196,7 @@
   void sendToCaller(const Packet &P, const SoakUpstream &U, std::uint8_t Flags,
                     std::uint16_t Data);
   void probeReadiness(std::size_t Balancer);
+  /// Selects a balancer by rendezvous hashing over those in rotation.
   std::size_t selectBalancer(std::uint16_t CallerPort) const;
   void reportViolation(const std::string &What);
   void runAfter(std::chrono::milliseconds Delay,
