--- a/test/standin/fabric.cc
+++ b/test/standin/fabric.cc
@@ -15,40 +15,42 @@
 
 namespace {
 
-constexpr auto ReadHostsEvery = std::chrono::milliseconds(200);
+constexpr auto HostListPollInterval = std::chrono::milliseconds(200);
 
 struct Faults {
-  double Loss_ = 0;
-  double Repeat_ = 0;
-  double Delay_ = 0; ///< Share that is delayed, and so reordered.
-  std::chrono::milliseconds DelayFor_{20};
+  double LossRate_ = 0;
+  double DuplicateRate_ = 0;
+  double DelayedShare_ = 0; ///< Share that is delayed, and so reordered.
+  std::chrono::milliseconds DelayTime_{20};
 };
 
 class Fabric {
 public:
-  Fabric(asio::io_context &Context, std::string HostsPath, Endpoint Listen,
+  Fabric(asio::io_context &Context, std::string HostListPath, Endpoint Listen,
          const std::vector<std::uint16_t> &Ports, Faults F, unsigned Seed)
-      : Context_(Context), HostsPath_(std::move(HostsPath)), Faults_(F),
+      : Context_(Context), HostListPath_(std::move(HostListPath)), Faults_(F),
         Random_(Seed), Timer_(Context) {
-    readHosts();
+    pollHostList();
     for (std::uint16_t Port : Ports) {
       Endpoint Local = Listen;
       Local.Port_ = Port;
-      Fronts_[Port] = std::make_unique<UdpSocket>(
+      ServiceSockets_[Port] = std::make_unique<UdpSocket>(
           Context, Local,
           [this, Port](const Endpoint &From, const std::uint8_t *Data,
                        std::size_t Size) {
-            toBalancer(Port, From, Data, Size);
+            forwardPacket(Port, From, Data, Size);
           });
     }
   }
 
 private:
-  double draw() { return std::generate_canonical<double, 32>(Random_); }
+  double randomFraction() {
+    return std::generate_canonical<double, 32>(Random_);
+  }
 
   /// The balancers that the host list shows as live.
-  void readHosts() {
-    std::optional<std::string> Text = readFile(HostsPath_);
+  void pollHostList() {
+    std::optional<std::string> Text = readFile(HostListPath_);
     auto Root = nlohmann::json::parse(Text.value_or(""), nullptr, false);
     if (Root.is_object()) {
       Balancers_.clear();
@@ -56,60 +58,60 @@
         if (H["role"] == "balancer" && H["state"] == "live")
           Balancers_.push_back(parseEndpoint(H["data"].get<std::string>()));
     }
-    Timer_.expires_after(ReadHostsEvery);
-    Timer_.async_wait([this](const asio::error_code &) { readHosts(); });
+    Timer_.expires_after(HostListPollInterval);
+    Timer_.async_wait([this](const asio::error_code &) { pollHostList(); });
   }
 
-  UdpSocket &socketOf(std::uint16_t Port, const Endpoint &Caller) {
-    auto &Socket = Callers_[{Port, Caller}];
+  UdpSocket &callerSocket(std::uint16_t Port, const Endpoint &Caller) {
+    auto &Socket = CallerSockets_[{Port, Caller}];
     if (!Socket) {
-      Endpoint Any = Caller;
-      Any.Port_ = 0;
+      Endpoint Local = Caller;
+      Local.Port_ = 0;
       Socket = std::make_unique<UdpSocket>(
-          Context_, Any,
+          Context_, Local,
           [this, Port, Caller](const Endpoint &, const std::uint8_t *Data,
                                std::size_t Size) {
-            if (draw() >= Faults_.Loss_)
-              Fronts_[Port]->send(Caller, Data, Size);
+            if (randomFraction() >= Faults_.LossRate_)
+              ServiceSockets_[Port]->send(Caller, Data, Size);
           });
     }
     return *Socket;
   }
 
-  void toBalancer(std::uint16_t Port, const Endpoint &Caller,
-                  const std::uint8_t *Data, std::size_t Size) {
-    if (draw() >= Faults_.Loss_)
-      spray(Port, Caller, Data, Size);
-    if (draw() < Faults_.Repeat_)
-      spray(Port, Caller, Data, Size);
+  void forwardPacket(std::uint16_t Port, const Endpoint &Caller,
+                     const std::uint8_t *Data, std::size_t Size) {
+    if (randomFraction() >= Faults_.LossRate_)
+      sendToRandomBalancer(Port, Caller, Data, Size);
+    if (randomFraction() < Faults_.DuplicateRate_)
+      sendToRandomBalancer(Port, Caller, Data, Size);
   }
 
-  void spray(std::uint16_t Port, const Endpoint &Caller,
-             const std::uint8_t *Data, std::size_t Size) {
+  void sendToRandomBalancer(std::uint16_t Port, const Endpoint &Caller,
+                            const std::uint8_t *Data, std::size_t Size) {
     if (Balancers_.empty())
       return;
     Endpoint To = Balancers_[Random_() % Balancers_.size()];
     To.Port_ = Port;
-    UdpSocket &From = socketOf(Port, Caller);
-    if (draw() >= Faults_.Delay_)
+    UdpSocket &From = callerSocket(Port, Caller);
+    if (randomFraction() >= Faults_.DelayedShare_)
       return From.send(To, Data, Size);
-    auto Later = std::make_shared<asio::steady_timer>(Context_);
+    auto Timer = std::make_shared<asio::steady_timer>(Context_);
     std::vector<std::uint8_t> Copy(Data, Data + Size);
-    Later->expires_after(Faults_.DelayFor_);
-    Later->async_wait([&From, To, Copy, Later](const asio::error_code &) {
+    Timer->expires_after(Faults_.DelayTime_);
+    Timer->async_wait([&From, To, Copy, Timer](const asio::error_code &) {
       From.send(To, Copy.data(), Copy.size());
     });
   }
 
   asio::io_context &Context_;
-  std::string HostsPath_;
+  std::string HostListPath_;
   Faults Faults_;
   std::mt19937 Random_;
   asio::steady_timer Timer_;
   std::vector<Endpoint> Balancers_;
-  std::map<std::uint16_t, std::unique_ptr<UdpSocket>> Fronts_;
+  std::map<std::uint16_t, std::unique_ptr<UdpSocket>> ServiceSockets_;
   std::map<std::pair<std::uint16_t, Endpoint>, std::unique_ptr<UdpSocket>>
-      Callers_;
+      CallerSockets_;
 };
 
 int run(int Count, char **Values) {
@@ -124,13 +126,13 @@
       "delay", "share delayed by 20 ms",
       cxxopts::value<double>()->default_value("0"))(
       "seed", "", cxxopts::value<unsigned>()->default_value("1"));
-  auto Arguments = parseStandin(Options, Count, Values);
+  auto Arguments = parseStandinOptions(Options, Count, Values);
   Faults F;
-  F.Loss_ = Arguments["loss"].as<double>();
-  F.Repeat_ = Arguments["repeat"].as<double>();
-  F.Delay_ = Arguments["delay"].as<double>();
+  F.LossRate_ = Arguments["loss"].as<double>();
+  F.DuplicateRate_ = Arguments["repeat"].as<double>();
+  F.DelayedShare_ = Arguments["delay"].as<double>();
   asio::io_context Context(1);
-  Fabric Running(Context, Arguments["hosts"].as<std::string>(),
+  Fabric Network(Context, Arguments["hosts"].as<std::string>(),
                  parseEndpoint(Arguments["listen"].as<std::string>()),
                  Arguments["ports"].as<std::vector<std::uint16_t>>(), F,
                  Arguments["seed"].as<unsigned>());
--- a/test/standin/platform.cc
+++ b/test/standin/platform.cc
@@ -16,7 +16,7 @@
 
 namespace {
 
-constexpr auto ReadFolderEvery = std::chrono::milliseconds(20);
+constexpr auto FolderPollInterval = std::chrono::milliseconds(20);
 constexpr std::size_t MaxWatches = 128;
 
 /// One document, as last read from its file.
@@ -24,7 +24,7 @@
 public:
   explicit Document(std::string Path) : Path_(std::move(Path)) {}
 
-  void reread() {
+  void reload() {
     std::optional<std::string> Text = readFile(Path_);
     if (!Text)
       return;
@@ -43,9 +43,9 @@
   /// Waits for another version than \p After; empty when none comes.
   std::string watch(Version After, std::chrono::milliseconds Wait) {
     std::unique_lock<std::mutex> Guard(Mutex_);
-    bool Newer = Changed_.wait_for(
+    bool Changed = Changed_.wait_for(
         Guard, Wait, [&] { return Version_ != 0 && Version_ != After; });
-    return Newer ? Text_ : std::string();
+    return Changed ? Text_ : std::string();
   }
 
 private:
@@ -56,14 +56,16 @@
   Version Version_ = 0;
 };
 
-void serve(httplib::Server &Server, const char *Path, Document &From) {
-  Server.Get(Path, [&From](const httplib::Request &Request,
-                           httplib::Response &Response) {
-    auto Number = [&](const char *Name) {
+void serveDocument(httplib::Server &Server, const char *Path,
+                   Document &Source) {
+  Server.Get(Path, [&Source](const httplib::Request &Request,
+                             httplib::Response &Response) {
+    auto NumberParam = [&](const char *Name) {
       return std::strtoull(Request.get_param_value(Name).c_str(), nullptr, 10);
     };
-    std::string Text = From.watch(Number("after"),
-                                  std::chrono::milliseconds(Number("wait_ms")));
+    std::string Text =
+        Source.watch(NumberParam("after"),
+                     std::chrono::milliseconds(NumberParam("wait_ms")));
     if (Text.empty())
       Response.status = 204;
     else
@@ -76,26 +78,26 @@
   Options.add_options()("listen", "IP:PORT", cxxopts::value<std::string>())(
       "folder", "holds declaration.json and hosts.json",
       cxxopts::value<std::string>());
-  auto Arguments = parseStandin(Options, Count, Values);
+  auto Arguments = parseStandinOptions(Options, Count, Values);
   std::string Folder = Arguments["folder"].as<std::string>();
   Document Declaration(Folder + "/declaration.json");
-  Document Hosts(Folder + "/hosts.json");
+  Document HostList(Folder + "/hosts.json");
   httplib::Server Server;
   Server.new_task_queue = [] { return new httplib::ThreadPool(MaxWatches); };
-  serve(Server, "/v1/watch/declaration", Declaration);
-  serve(Server, "/v1/watch/hosts", Hosts);
+  serveDocument(Server, "/v1/watch/declaration", Declaration);
+  serveDocument(Server, "/v1/watch/hosts", HostList);
   std::thread Reader([&] {
     for (;;) {
-      Declaration.reread();
-      Hosts.reread();
-      std::this_thread::sleep_for(ReadFolderEvery);
+      Declaration.reload();
+      HostList.reload();
+      std::this_thread::sleep_for(FolderPollInterval);
     }
   });
   Reader.detach();
   std::string Listen = Arguments["listen"].as<std::string>();
-  Endpoint Where = parseEndpoint(Listen);
+  Endpoint Address = parseEndpoint(Listen);
   Listen.resize(Listen.rfind(':'));
-  return Server.listen(Listen.c_str(), Where.Port_) ? ExitDone : ExitUsage;
+  return Server.listen(Listen.c_str(), Address.Port_) ? ExitDone : ExitUsage;
 }
 
 } // namespace
--- a/test/standin/upstream.cc
+++ b/test/standin/upstream.cc
@@ -21,30 +21,30 @@
 using Json = nlohmann::json;
 using SteadyTime = std::chrono::steady_clock::time_point;
 
-constexpr auto HalfOpenFor = std::chrono::seconds(30);
-constexpr auto SampleEvery = std::chrono::milliseconds(250);
-constexpr auto RefusedRetryAfter = std::chrono::milliseconds(100);
+constexpr auto HalfOpenTimeout = std::chrono::seconds(30);
+constexpr auto SampleInterval = std::chrono::milliseconds(250);
+constexpr auto RefusedRetryDelay = std::chrono::milliseconds(100);
 constexpr std::size_t AnswerSize = 200;
 
 struct Options {
   std::string Name_;
-  Endpoint At_;
+  Endpoint Listen_;
   std::set<std::uint32_t> Services_;
   std::size_t Slots_ = 1;
-  std::size_t Queue_ = 64;
-  Micros Work_{};
-  Micros PushEvery_{};
-  bool Remembers_ = false;
-  std::string Record_;
+  std::size_t QueueLimit_ = 64;
+  Micros MeanWork_{};
+  Micros PushInterval_{};
+  bool Deduplicates_ = false;
+  std::string RecordPath_;
 };
 
 struct Flow {
   std::uint32_t Service_ = 0;
-  bool Used_ = false; ///< Half open until its first packet.
+  bool Established_ = false; ///< Half open until its first packet.
   SteadyTime HalfOpenUntil_;
   Endpoint Balancer_; ///< That the flow's last packet came from.
   Endpoint Caller_;
-  std::uint32_t Pushes_ = 0;
+  std::uint32_t PushesSent_ = 0;
 };
 
 /// A request with the bytes that its message borrowed.
@@ -60,12 +60,12 @@
       .count();
 }
 
-class UpstreamHost {
+class StandinUpstream {
 public:
-  UpstreamHost(asio::io_context &Context, Options O)
-      : Context_(Context), Options_(std::move(O)), Sampler_(Context),
-        Pusher_(Context), Signals_(Context, SIGTERM, SIGINT),
-        Socket_(Context, Options_.At_,
+  StandinUpstream(asio::io_context &Context, Options O)
+      : Context_(Context), Options_(std::move(O)), SampleTimer_(Context),
+        PushTimer_(Context), Signals_(Context, SIGTERM, SIGINT),
+        Socket_(Context, Options_.Listen_,
                 [this](const Endpoint &From, const std::uint8_t *Data,
                        std::size_t Size) { receive(From, Data, Size); }) {
     std::random_device Device;
@@ -76,7 +76,7 @@
       Context_.stop();
     });
     sample();
-    if (Options_.PushEvery_ != Micros{0})
+    if (Options_.PushInterval_ != Micros{0})
       push();
   }
 
@@ -107,33 +107,33 @@
   void open(const Endpoint &From, const Message &M) {
     if (Options_.Services_.count(raw(M.Service_)) == 0)
       return reply(From, M, Kind::Reset);
-    auto [At, Fresh] = Flows_.try_emplace(raw(M.Flow_));
-    if (!Fresh && At->second.Service_ != raw(M.Service_))
+    auto [Entry, Inserted] = Flows_.try_emplace(raw(M.Flow_));
+    if (!Inserted && Entry->second.Service_ != raw(M.Service_))
       return reply(From, M, Kind::Reset);
-    Flow &F = At->second;
+    Flow &F = Entry->second;
     F.Service_ = raw(M.Service_);
-    F.HalfOpenUntil_ = std::chrono::steady_clock::now() + HalfOpenFor;
+    F.HalfOpenUntil_ = std::chrono::steady_clock::now() + HalfOpenTimeout;
     F.Balancer_ = From;
     F.Caller_ = M.Caller_;
     reply(From, M, Kind::Opened);
   }
 
   /// The flow that a packet belongs to, if we hold it in this incarnation.
-  Flow *holds(const Endpoint &From, const Message &M) {
+  Flow *findFlow(const Endpoint &From, const Message &M) {
     auto Known = Flows_.find(raw(M.Flow_));
-    bool Held = Known != Flows_.end() && M.Incarnation_ == Incarnation_ &&
-                Known->second.Service_ == raw(M.Service_);
-    if (!Held)
+    bool Found = Known != Flows_.end() && M.Incarnation_ == Incarnation_ &&
+                 Known->second.Service_ == raw(M.Service_);
+    if (!Found)
       return nullptr;
     Flow &F = Known->second;
-    F.Used_ = true;
+    F.Established_ = true;
     F.Balancer_ = From;
     F.Caller_ = M.Caller_;
     return &F;
   }
 
   void request(const Endpoint &From, const Message &M) {
-    if (!holds(From, M))
+    if (!findFlow(From, M))
       return reply(From, M, Kind::Reset);
     Job J{M, readAppPayload(M.Payload_), From};
     J.Message_.Payload_ = {};
@@ -141,54 +141,55 @@
     if (J.Payload_.Service_ != raw(M.Service_))
       ++WrongService_;
     bool Once = !M.repeatable();
-    if (Once && Options_.Remembers_ && remembered(J))
+    if (Once && Options_.Deduplicates_ && handleDuplicate(J))
       return;
-    if (Running_ >= Options_.Slots_ && Waiting_.size() >= Options_.Queue_) {
+    if (RunningJobs_ >= Options_.Slots_ &&
+        WaitingJobs_.size() >= Options_.QueueLimit_) {
       ++Refused_;
       return reply(From, M, Kind::Refused);
     }
-    if (Once && Options_.Remembers_)
-      Remembered_[M.Epoch_] = M.Attempt_;
-    Waiting_.push_back(J);
+    if (Once && Options_.Deduplicates_)
+      LatestAttempts_[M.Epoch_] = M.Attempt_;
+    WaitingJobs_.push_back(J);
     startNext();
   }
 
   /// True when the request was seen before: its answer goes to the newest
   /// attempt, now if it is done.
-  bool remembered(const Job &J) {
-    auto Known = Remembered_.find(J.Message_.Epoch_);
-    if (Known == Remembered_.end())
+  bool handleDuplicate(const Job &J) {
+    auto Known = LatestAttempts_.find(J.Message_.Epoch_);
+    if (Known == LatestAttempts_.end())
       return false;
     Known->second = J.Message_.Attempt_;
-    Newest_[J.Message_.Epoch_] = J;
-    if (Done_.count(J.Message_.Epoch_) != 0)
+    LatestJobs_[J.Message_.Epoch_] = J;
+    if (Completed_.count(J.Message_.Epoch_) != 0)
       answer(J);
     return true;
   }
 
   void startNext() {
-    if (Running_ >= Options_.Slots_ || Waiting_.empty())
+    if (RunningJobs_ >= Options_.Slots_ || WaitingJobs_.empty())
       return;
-    ++Running_;
-    auto J = std::make_shared<Job>(Waiting_.front());
-    Waiting_.pop_front();
+    ++RunningJobs_;
+    auto J = std::make_shared<Job>(WaitingJobs_.front());
+    WaitingJobs_.pop_front();
     if (!J->Message_.repeatable())
       ExecutedOnce_.push_back(J->Payload_.Id_);
     ++Executed_;
-    std::exponential_distribution<double> Spread(1);
+    std::exponential_distribution<double> WorkFactor(1);
     auto Work = std::chrono::duration_cast<Micros>(
-        Options_.Work_ * std::min(Spread(Random_), 5.0));
+        Options_.MeanWork_ * std::min(WorkFactor(Random_), 5.0));
     auto Timer = std::make_shared<asio::steady_timer>(Context_);
     Timer->expires_after(Work);
     Timer->async_wait([this, J, Timer](const asio::error_code &) {
-      --Running_;
-      std::uint64_t Identity = J->Message_.Epoch_;
+      --RunningJobs_;
+      std::uint64_t Epoch = J->Message_.Epoch_;
       bool Once = !J->Message_.repeatable();
-      auto Newer = Newest_.find(Identity);
+      auto Latest = LatestJobs_.find(Epoch);
       if (Cancelled_.erase(J->Message_.Attempt_) == 0 || Once)
-        answer(Once && Newer != Newest_.end() ? Newer->second : *J);
-      if (Once && Options_.Remembers_)
-        Done_.insert(Identity);
+        answer(Once && Latest != LatestJobs_.end() ? Latest->second : *J);
+      if (Once && Options_.Deduplicates_)
+        Completed_.insert(Epoch);
       startNext();
     });
   }
@@ -207,23 +208,23 @@
   }
 
   void ping(const Endpoint &From, const Message &M) {
-    Flow *F = holds(From, M);
+    Flow *F = findFlow(From, M);
     if (!F)
       return reply(From, M, Kind::Reset);
     Message Out = M;
     Out.Kind_ = Kind::Pong;
-    Out.Request_ = F->Pushes_;
+    Out.Request_ = F->PushesSent_;
     send(From, Out);
-    for (std::uint32_t N = M.Request_ + 1; N <= F->Pushes_; ++N)
+    for (std::uint32_t N = M.Request_ + 1; N <= F->PushesSent_; ++N)
       sendPush(raw(M.Flow_), *F, N); // those that the caller has missed
   }
 
   void push() {
-    Pusher_.expires_after(Options_.PushEvery_);
-    Pusher_.async_wait([this](const asio::error_code &) {
+    PushTimer_.expires_after(Options_.PushInterval_);
+    PushTimer_.async_wait([this](const asio::error_code &) {
       for (auto &[Id, F] : Flows_)
-        if (F.Used_)
-          sendPush(Id, F, ++F.Pushes_);
+        if (F.Established_)
+          sendPush(Id, F, ++F.PushesSent_);
       push();
     });
   }
@@ -245,7 +246,7 @@
     Out.Route_ = {};
     if (K == Kind::Refused)
       Out.RetryAt_ =
-          WallTime(std::chrono::milliseconds(wallMs()) + RefusedRetryAfter);
+          WallTime(std::chrono::milliseconds(wallMs()) + RefusedRetryDelay);
     send(To, Out);
   }
 
@@ -261,7 +262,7 @@
   void sample() {
     auto Now = std::chrono::steady_clock::now();
     for (auto At = Flows_.begin(); At != Flows_.end();)
-      At = !At->second.Used_ && At->second.HalfOpenUntil_ < Now
+      At = !At->second.Established_ && At->second.HalfOpenUntil_ < Now
                ? Flows_.erase(At)
                : std::next(At);
     std::map<std::uint32_t, std::size_t> Counts;
@@ -269,18 +270,19 @@
       ++Counts[F.Service_];
     for (const auto &[Service, Number] : Counts)
       Samples_.push_back({wallMs(), Service, Number});
-    Sampler_.expires_after(SampleEvery);
-    Sampler_.async_wait([this](const asio::error_code &) { sample(); });
+    SampleTimer_.expires_after(SampleInterval);
+    SampleTimer_.async_wait([this](const asio::error_code &) { sample(); });
   }
 
   void writeRecord() {
-    std::ofstream(Options_.Record_) << Json({{"name", Options_.Name_},
-                                             {"slots", Options_.Slots_},
-                                             {"wrong_service", WrongService_},
-                                             {"refused", Refused_},
-                                             {"executed", Executed_},
-                                             {"executed_once", ExecutedOnce_},
-                                             {"samples", Samples_}});
+    std::ofstream(Options_.RecordPath_)
+        << Json({{"name", Options_.Name_},
+                 {"slots", Options_.Slots_},
+                 {"wrong_service", WrongService_},
+                 {"refused", Refused_},
+                 {"executed", Executed_},
+                 {"executed_once", ExecutedOnce_},
+                 {"samples", Samples_}});
   }
 
   struct Sample {
@@ -296,17 +298,17 @@
 
   asio::io_context &Context_;
   Options Options_;
-  asio::steady_timer Sampler_;
-  asio::steady_timer Pusher_;
+  asio::steady_timer SampleTimer_;
+  asio::steady_timer PushTimer_;
   asio::signal_set Signals_;
   std::mt19937 Random_;
   Incarnation Incarnation_{};
   std::unordered_map<std::uint64_t, Flow> Flows_;
-  std::deque<Job> Waiting_;
-  std::size_t Running_ = 0;
-  std::unordered_map<std::uint64_t, std::uint64_t> Remembered_;
-  std::unordered_map<std::uint64_t, Job> Newest_;
-  std::set<std::uint64_t> Done_;
+  std::deque<Job> WaitingJobs_;
+  std::size_t RunningJobs_ = 0;
+  std::unordered_map<std::uint64_t, std::uint64_t> LatestAttempts_;
+  std::unordered_map<std::uint64_t, Job> LatestJobs_;
+  std::set<std::uint64_t> Completed_;
   std::set<std::uint64_t> Cancelled_;
   std::vector<std::uint64_t> ExecutedOnce_;
   std::vector<Sample> Samples_;
@@ -329,20 +331,21 @@
       cxxopts::value<std::int64_t>()->default_value("0"))(
       "remembers", "remember requests that may not be repeated")(
       "record", "file to write at the end", cxxopts::value<std::string>());
-  auto Given = parseStandin(Arguments, Count, Values);
+  auto Parsed = parseStandinOptions(Arguments, Count, Values);
   Options O;
-  O.Name_ = Given["name"].as<std::string>();
-  O.At_ = parseEndpoint(Given["listen"].as<std::string>());
-  for (const auto &S : Given["services"].as<std::vector<std::string>>())
+  O.Name_ = Parsed["name"].as<std::string>();
+  O.Listen_ = parseEndpoint(Parsed["listen"].as<std::string>());
+  for (const auto &S : Parsed["services"].as<std::vector<std::string>>())
     O.Services_.insert(nameId(S));
-  O.Slots_ = Given["slots"].as<std::size_t>();
-  O.Queue_ = Given["queue"].as<std::size_t>();
-  O.Work_ = Micros(Given["work-us"].as<std::int64_t>());
-  O.PushEvery_ = std::chrono::milliseconds(Given["push-ms"].as<std::int64_t>());
-  O.Remembers_ = Given.count("remembers") != 0;
-  O.Record_ = Given["record"].as<std::string>();
+  O.Slots_ = Parsed["slots"].as<std::size_t>();
+  O.QueueLimit_ = Parsed["queue"].as<std::size_t>();
+  O.MeanWork_ = Micros(Parsed["work-us"].as<std::int64_t>());
+  O.PushInterval_ =
+      std::chrono::milliseconds(Parsed["push-ms"].as<std::int64_t>());
+  O.Deduplicates_ = Parsed.count("remembers") != 0;
+  O.RecordPath_ = Parsed["record"].as<std::string>();
   asio::io_context Context(1);
-  UpstreamHost Host(Context, O);
+  StandinUpstream Upstream(Context, O);
   Context.run();
   return ExitDone;
 }
