--- a/test/standin/fabric.cc
+++ b/test/standin/fabric.cc
@@ -1,6 +1,6 @@
-// Stand-in for the network fabric: hands each datagram of a caller to any
-// balancer, and may lose, repeat or delay it. Replies go back through the same
-// socket, so balancers see one address a caller.
+// Stand-in for the network fabric: sends each datagram of a caller to a random
+// balancer, and may drop, duplicate or delay it. Each caller has a socket of
+// its own towards the balancers, which therefore see one address per caller.
 #include "standin-options.h"
 #include "udp-socket.h"
 
@@ -20,7 +20,8 @@
 struct Faults {
   double LossRate_ = 0;
   double DuplicateRate_ = 0;
-  double DelayedShare_ = 0; ///< Share that is delayed, and so reordered.
+  double DelayedShare_ =
+      0; ///< Share of delayed and thereby reordered datagrams.
   std::chrono::milliseconds DelayTime_{20};
 };
 
@@ -48,7 +49,7 @@
     return std::generate_canonical<double, 32>(Random_);
   }
 
-  /// The balancers that the host list shows as live.
+  /// Reads the live balancers from the host list file periodically.
   void pollHostList() {
     std::optional<std::string> Text = readFile(HostListPath_);
     auto Root = nlohmann::json::parse(Text.value_or(""), nullptr, false);
@@ -62,6 +63,7 @@
     Timer_.async_wait([this](const asio::error_code &) { pollHostList(); });
   }
 
+  /// Returns the caller's socket towards the balancers; creates it if needed.
   UdpSocket &callerSocket(std::uint16_t Port, const Endpoint &Caller) {
     auto &Socket = CallerSockets_[{Port, Caller}];
     if (!Socket) {
@@ -115,17 +117,22 @@
 };
 
 int run(int Count, char **Values) {
-  cxxopts::Options Options("standin-fabric", "Sprays datagrams.");
-  Options.add_options()("hosts", "the host list's file",
+  cxxopts::Options Options("standin-fabric",
+                           "Forwards datagrams to random balancers.");
+  Options.add_options()("hosts", "path of the host list",
                         cxxopts::value<std::string>())(
-      "listen", "IP:PORT; the port is unused", cxxopts::value<std::string>())(
-      "ports", "service ports", cxxopts::value<std::vector<std::uint16_t>>())(
-      "loss", "share lost, each way",
+      "listen", "IP:PORT to listen on; the port is ignored",
+      cxxopts::value<std::string>())(
+      "ports", "service ports to listen on",
+      cxxopts::value<std::vector<std::uint16_t>>())(
+      "loss", "share of dropped datagrams, in each direction",
       cxxopts::value<double>()->default_value("0"))(
-      "repeat", "share repeated", cxxopts::value<double>()->default_value("0"))(
-      "delay", "share delayed by 20 ms",
+      "repeat", "share of duplicated datagrams",
       cxxopts::value<double>()->default_value("0"))(
-      "seed", "", cxxopts::value<unsigned>()->default_value("1"));
+      "delay", "share of datagrams delayed by 20 ms",
+      cxxopts::value<double>()->default_value("0"))(
+      "seed", "seed of the random choices",
+      cxxopts::value<unsigned>()->default_value("1"));
   auto Arguments = parseStandinOptions(Options, Count, Values);
   Faults F;
   F.LossRate_ = Arguments["loss"].as<double>();
--- a/test/standin/platform.cc
+++ b/test/standin/platform.cc
@@ -1,5 +1,5 @@
-// Stand-in for the users' platform: serves two documents from a folder, to be
-// read and watched (docs/PROTOCOL.md, "Platform").
+// Stand-in for the users' platform: serves the declaration and the host list
+// from a folder, with long polling (docs/PROTOCOL.md, "Platform").
 #include "standin-options.h"
 
 #include <condition_variable>
@@ -19,7 +19,7 @@
 constexpr auto FolderPollInterval = std::chrono::milliseconds(20);
 constexpr std::size_t MaxWatches = 128;
 
-/// One document, as last read from its file.
+/// Document with the content that was last read from its file.
 class Document {
 public:
   explicit Document(std::string Path) : Path_(std::move(Path)) {}
@@ -31,7 +31,7 @@
     auto Root = nlohmann::json::parse(*Text, nullptr, false);
     if (!Root.is_object() || !Root.contains("version") ||
         !Root["version"].is_number_unsigned())
-      return; // half written, or not a document
+      return; // partly written or invalid
     std::lock_guard<std::mutex> Guard(Mutex_);
     if (Text_ == *Text)
       return;
@@ -40,7 +40,8 @@
     Changed_.notify_all();
   }
 
-  /// Waits for another version than \p After; empty when none comes.
+  /// Waits up to \p Wait for a version other than \p After. Returns its text,
+  /// or an empty string on timeout.
   std::string watch(Version After, std::chrono::milliseconds Wait) {
     std::unique_lock<std::mutex> Guard(Mutex_);
     bool Changed = Changed_.wait_for(
@@ -74,9 +75,11 @@
 }
 
 int run(int Count, char **Values) {
-  cxxopts::Options Options("standin-platform", "Serves a folder's documents.");
-  Options.add_options()("listen", "IP:PORT", cxxopts::value<std::string>())(
-      "folder", "holds declaration.json and hosts.json",
+  cxxopts::Options Options("standin-platform",
+                           "Serves the documents in a folder.");
+  Options.add_options()("listen", "IP:PORT to listen on",
+                        cxxopts::value<std::string>())(
+      "folder", "folder of declaration.json and hosts.json",
       cxxopts::value<std::string>());
   auto Arguments = parseStandinOptions(Options, Count, Values);
   std::string Folder = Arguments["folder"].as<std::string>();
--- a/test/standin/standin-options.h
+++ b/test/standin/standin-options.h
@@ -1,5 +1,6 @@
 /// \file
-/// Command line of the stand-ins: options, or the same as JSON by --config.
+/// Command line of the stand-ins: options, or the same options in a JSON file
+/// that --config names.
 #ifndef THYMEWALL_TEST_STANDIN_OPTIONS_H
 #define THYMEWALL_TEST_STANDIN_OPTIONS_H
 
@@ -10,7 +11,8 @@
 
 namespace thymewall::detail {
 
-/// A JSON value as the text of an option; arrays become comma lists.
+/// Converts a JSON value to the text of an option. Arrays become
+/// comma-separated lists.
 inline std::string toOptionText(const nlohmann::json &Value) {
   if (Value.is_string())
     return Value.get<std::string>();
@@ -22,8 +24,9 @@
   return Text;
 }
 
-/// Parses the command line; --config FILE adds each key of the file's object as
-/// an option. What is wrong is printed with file and key, and ends the process.
+/// Parses the command line. --config FILE adds each key of the file's JSON
+/// object as an option. On an invalid file, prints the file, the key and the
+/// reason, and exits the process.
 inline cxxopts::ParseResult parseStandinOptions(cxxopts::Options &Options,
                                                 int Count, char **Values) {
   Options.add_options()("config", "the same options in JSON",
--- a/test/standin/upstream.cc
+++ b/test/standin/upstream.cc
@@ -1,5 +1,6 @@
-// Stand-in for an upstream: holds flows, runs requests in its slots, refuses
-// beyond its queue, and records what it saw (docs/PROTOCOL.md, "Upstreams").
+// Stand-in for an upstream: keeps flows, runs requests in its slots, refuses
+// requests when its queue is full, and writes a record of its work at the end
+// (docs/PROTOCOL.md, "Upstreams").
 #include "app-payload.h"
 #include "standin-options.h"
 #include "udp-socket.h"
@@ -40,14 +41,14 @@
 
 struct Flow {
   std::uint32_t Service_ = 0;
-  bool Established_ = false; ///< Half open until its first packet.
+  bool Established_ = false; ///< Set by the first packet after the open.
   SteadyTime HalfOpenUntil_;
-  Endpoint Balancer_; ///< That the flow's last packet came from.
+  Endpoint Balancer_; ///< Sender of the flow's last packet.
   Endpoint Caller_;
   std::uint32_t PushesSent_ = 0;
 };
 
-/// A request with the bytes that its message borrowed.
+/// Request with its parsed payload; the message holds no bytes.
 struct Job {
   Message Message_;
   AppPayload Payload_;
@@ -118,7 +119,8 @@
     reply(From, M, Kind::Opened);
   }
 
-  /// The flow that a packet belongs to, if we hold it in this incarnation.
+  /// Returns the packet's flow and updates its addresses, or returns null if
+  /// the flow is unknown in this incarnation.
   Flow *findFlow(const Endpoint &From, const Message &M) {
     auto Known = Flows_.find(raw(M.Flow_));
     bool Found = Known != Flows_.end() && M.Incarnation_ == Incarnation_ &&
@@ -154,8 +156,8 @@
     startNext();
   }
 
-  /// True when the request was seen before: its answer goes to the newest
-  /// attempt, now if it is done.
+  /// Returns whether the request was received before. The answer then goes to
+  /// the latest attempt: at once if the request has completed.
   bool handleDuplicate(const Job &J) {
     auto Known = LatestAttempts_.find(J.Message_.Epoch_);
     if (Known == LatestAttempts_.end())
@@ -216,7 +218,7 @@
     Out.Request_ = F->PushesSent_;
     send(From, Out);
     for (std::uint32_t N = M.Request_ + 1; N <= F->PushesSent_; ++N)
-      sendPush(raw(M.Flow_), *F, N); // those that the caller has missed
+      sendPush(raw(M.Flow_), *F, N); // pushes that the caller has missed
   }
 
   void push() {
@@ -258,7 +260,7 @@
     Socket_.send(To, Buffer, Size);
   }
 
-  /// Half-open flows end by themselves; the flows of each service are noted.
+  /// Removes expired half-open flows and samples the flow count per service.
   void sample() {
     auto Now = std::chrono::steady_clock::now();
     for (auto At = Flows_.begin(); At != Flows_.end();)
@@ -289,7 +291,7 @@
     std::int64_t WallMs_;
     std::uint32_t Service_;
     std::size_t Flows_;
-    // The JSON library looks for this name.
+    // nlohmann::json finds this function by its name.
     // NOLINTNEXTLINE(readability-identifier-naming)
     friend void to_json(Json &Into, const Sample &S) {
       Into = Json::array({S.WallMs_, S.Service_, S.Flows_});
@@ -319,18 +321,23 @@
 };
 
 int run(int Count, char **Values) {
-  cxxopts::Options Arguments("standin-upstream", "Holds flows, runs requests.");
-  Arguments.add_options()("name", "", cxxopts::value<std::string>())(
-      "listen", "IP:PORT", cxxopts::value<std::string>())(
-      "services", "names", cxxopts::value<std::vector<std::string>>())(
-      "slots", "", cxxopts::value<std::size_t>()->default_value("1"))(
-      "queue", "", cxxopts::value<std::size_t>()->default_value("64"))(
-      "work-us", "mean work of a request",
+  cxxopts::Options Arguments("standin-upstream", "Simulates an upstream.");
+  Arguments.add_options()("name", "name in the record",
+                          cxxopts::value<std::string>())(
+      "listen", "IP:PORT to listen on", cxxopts::value<std::string>())(
+      "services", "names of the services",
+      cxxopts::value<std::vector<std::string>>())(
+      "slots", "requests that run at once",
+      cxxopts::value<std::size_t>()->default_value("1"))(
+      "queue", "waiting requests before others are refused",
+      cxxopts::value<std::size_t>()->default_value("64"))(
+      "work-us", "mean duration of a request, in microseconds",
       cxxopts::value<std::int64_t>()->default_value("2000"))(
-      "push-ms", "0 pushes nothing",
+      "push-ms", "interval of pushes, in milliseconds; 0 for none",
       cxxopts::value<std::int64_t>()->default_value("0"))(
-      "remembers", "remember requests that may not be repeated")(
-      "record", "file to write at the end", cxxopts::value<std::string>());
+      "remembers", "deduplicate requests that are not repeatable")(
+      "record", "file to write the record to at the end",
+      cxxopts::value<std::string>());
   auto Parsed = parseStandinOptions(Arguments, Count, Values);
   Options O;
   O.Name_ = Parsed["name"].as<std::string>();
