--- a/bench/cold-ways.cc
+++ b/bench/cold-ways.cc
@@ -24,42 +24,43 @@
                           {"a hall of 40", 80, 40},
                           {"all 40 cold", 0, 40}};
 
-void compare(std::size_t Balancers, double PerSecond, ColdWay Way, double For) {
+void compare(std::size_t Balancers, double PerSecond, ColdWay Way,
+             double Seconds) {
   ColdOutcome Worst;
-  double LeastUsed = 1e9;
+  double MinUsed = 1e9;
   std::string WorstAt;
   for (const Load &L : Loads)
-    for (int Which = 0; Which <= static_cast<int>(FleetBelief::Restarted);
-         ++Which) {
+    for (int Belief = 0; Belief <= static_cast<int>(FleetBelief::Restarted);
+         ++Belief) {
       ColdScenario S{Balancers,
                      L.Warm_,
                      L.Cold_,
                      {PerSecond, 1.5, 5},
-                     static_cast<FleetBelief>(Which)};
+                     static_cast<FleetBelief>(Belief)};
       for (std::uint64_t Seed = 1; Seed <= Seeds; ++Seed) {
-        ColdOutcome O = play(S, Way, For, Seed);
+        ColdOutcome O = play(S, Way, Seconds, Seed);
         if (O.Fullest_ > Worst.Fullest_)
           WorstAt = std::string(L.Name_) + ", " + nameOf(S.Belief_);
         Worst.Fullest_ = std::max(Worst.Fullest_, O.Fullest_);
         Worst.Rejected_ = std::max(Worst.Rejected_, O.Rejected_);
         if (S.Belief_ == FleetBelief::Alike)
-          LeastUsed = std::min(LeastUsed, O.Used_);
+          MinUsed = std::min(MinUsed, O.Used_);
       }
     }
   std::printf("%4zu %5.0f  %-7s %6.2f  %5.2f  %5.2f  %s\n", Balancers,
-              PerSecond, nameOf(Way).c_str(), Worst.Fullest_, LeastUsed,
+              PerSecond, nameOf(Way).c_str(), Worst.Fullest_, MinUsed,
               Worst.Rejected_, WorstAt.c_str());
 }
 
 } // namespace
 
 int main(int Count, char **Values) {
-  double For = Count > 1 ? std::atof(Values[1]) : 6;
+  double Seconds = Count > 1 ? std::atof(Values[1]) : 6;
   std::printf("balancers, limit, way, fullest second over the limit, used "
               "(alike, least), rejected (most), worst at\n");
   for (std::size_t Balancers : {8U, 90U, 300U})
     for (double PerSecond : {2.0, 10.0, 50.0})
       for (ColdWay Way :
            {ColdWay::Ramp, ColdWay::Bucket, ColdWay::Owners, ColdWay::Weight})
-        compare(Balancers, PerSecond, Way, For);
+        compare(Balancers, PerSecond, Way, Seconds);
 }
--- a/bench/core-bench.cc
+++ b/bench/core-bench.cc
@@ -18,13 +18,13 @@
 
 const SecretKey Secret = {1, 2, 3};
 const Endpoint Caller = Endpoint::v4(1, 1000);
-const ServiceId Index = static_cast<ServiceId>(nameId("index"));
+const ServiceId Service = static_cast<ServiceId>(nameId("index"));
 
-ZoneClock noZones() {
+ZoneClock stubZoneClock() {
   return [](const std::string &, WallTime) { return LocalMinute{}; };
 }
 
-std::string document(std::size_t Upstreams) {
+std::string declarationText(std::size_t Upstreams) {
   std::string Text = R"({"version": 1, "services": [{"name": "index",)"
                      R"( "port": 1, "in_flight_per_slot": 100000}],)"
                      R"( "upstreams": [)";
@@ -38,9 +38,9 @@
                 R"( "terms": [{"key": "off", "op": "absent"}]}]})";
 }
 
-DeclarationPtr parse(const std::string &Text) {
+DeclarationPtr parseOrAbort(const std::string &Text) {
   return boost::leaf::try_handle_all(
-      [&] { return parseDeclaration(Text, "bench", noZones()); },
+      [&] { return parseDeclaration(Text, "bench", stubZoneClock()); },
       []() -> DeclarationPtr { std::abort(); });
 }
 
@@ -54,67 +54,68 @@
          static_cast<double>(sysconf(_SC_PAGESIZE));
 }
 
-template <typename Function> double nanoseconds(std::size_t Count, Function F) {
+template <typename Function>
+double nanosecondsPerCall(std::size_t Count, Function F) {
   auto Start = Clock::now();
   for (std::size_t I = 0; I < Count; ++I)
     F(I);
-  std::chrono::duration<double, std::nano> Took = Clock::now() - Start;
-  return Took.count() / static_cast<double>(Count);
+  std::chrono::duration<double, std::nano> Elapsed = Clock::now() - Start;
+  return Elapsed.count() / static_cast<double>(Count);
 }
 
 /// A core whose upstreams answer at once.
-class Driver {
+class CoreDriver {
 public:
-  explicit Driver(const DeclarationPtr &D)
+  explicit CoreDriver(const DeclarationPtr &D)
       : Core_(BalancerBuilder()
                   .name("lb")
                   .dataAddress(Endpoint::v4(2, 7100))
                   .incarnation(Incarnation{42})
                   .seed(1)
                   .keys({Secret, Secret})
-                  .zones(noZones())
+                  .zones(stubZoneClock())
                   .build()),
-        Sink_([this](const Action &A) { note(A); }) {
-    give(DeclarationRead{D});
+        Sink_([this](const Action &A) { recordAction(A); }) {
+    handle(DeclarationRead{D});
   }
 
-  void give(const Event &What) { Core_.handle(Now_, What, Sink_); }
+  void handle(const Event &Input) { Core_.handle(Now_, Input, Sink_); }
   void open(std::uint64_t Flow) {
     Message M;
     M.Kind_ = Kind::Open;
-    M.Service_ = Index;
+    M.Service_ = Service;
     M.Flow_ = FlowId{Flow};
-    give(FromCaller{Caller, M, 200});
+    handle(FromCaller{Caller, M, 200});
     reply(Kind::Opened);
   }
   void request(std::uint64_t Flow, std::uint32_t Number, bool Repeatable) {
     Message M;
     M.Kind_ = Kind::Request;
-    M.Service_ = Index;
+    M.Service_ = Service;
     M.Flow_ = FlowId{Flow};
     M.Request_ = Number;
     M.Flags_ = Repeatable ? FlagRepeatable : 0;
     M.Route_ = Route_.bytes();
-    give(FromCaller{Caller, M, 200});
+    handle(FromCaller{Caller, M, 200});
   }
   void reply(Kind K) {
-    Message M = Up_;
+    Message M = UpstreamMessage_;
     M.Kind_ = K;
     M.Incarnation_ = Incarnation{5};
-    give(FromUpstream{UpAt_, M});
+    handle(FromUpstream{UpstreamAddress_, M});
   }
   void tick() {
     Now_.Mono_ += Balancer::TickEvery;
     Now_.Wall_ += Balancer::TickEvery;
-    give(Tick{});
+    handle(Tick{});
   }
   Status status() const { return Core_.status(); }
 
 private:
-  void note(const Action &A) {
+  void recordAction(const Action &A) {
     if (const auto *U = std::get_if<ToUpstream>(&A)) {
-      Up_ = U->Message_;
-      UpAt_ = U->To_;
+      UpstreamMessage_ = U->Message_;
+      UpstreamAddress_ = U->To_;
     } else if (const auto *C = std::get_if<ToCaller>(&A)) {
       Bytes R = C->Message_.Route_;
       if (R.empty())
@@ -128,30 +129,30 @@
   ActionSink Sink_;
   Moment Now_{MonoTime(std::chrono::seconds(1000)),
               WallTime(std::chrono::hours(1))};
-  Message Up_;
-  Endpoint UpAt_;
+  Message UpstreamMessage_;
+  Endpoint UpstreamAddress_;
   SealedRoute Route_;
 };
 
-void decisions() {
+void benchDecisions() {
   constexpr std::uint32_t Rounds = 300'000;
-  constexpr std::uint32_t TickAfter = 1000;
+  constexpr std::uint32_t RequestsPerTick = 1000;
   for (bool Repeatable : {true, false}) {
-    Driver D(parse(document(14)));
+    CoreDriver D(parseOrAbort(declarationText(14)));
     D.open(1);
-    double Both = nanoseconds(Rounds, [&](std::size_t I) {
+    double NsPerRequest = nanosecondsPerCall(Rounds, [&](std::size_t I) {
       D.request(1, static_cast<std::uint32_t>(I + 1), Repeatable);
       D.reply(Kind::Answer);
-      if (I % TickAfter == 0)
+      if (I % RequestsPerTick == 0)
         D.tick();
     });
     std::cout << R"({"bench": "decision", "class": ")"
               << (Repeatable ? "repeatable" : "once")
-              << R"(", "ns_per_event": )" << Both / 2 << "}\n";
+              << R"(", "ns_per_event": )" << NsPerRequest / 2 << "}\n";
   }
 }
 
-void codec() {
+void benchCodec() {
   std::uint8_t Buffer[MaxDatagram];
   std::uint8_t Payload[128] = {};
   Message M;
@@ -161,59 +162,60 @@
   SealedRoute R = seal({}, Secret);
   M.Route_ = R.bytes();
   std::size_t Size = 0;
-  double Encode = nanoseconds(1'000'000, [&](std::size_t I) {
+  double EncodeNs = nanosecondsPerCall(1'000'000, [&](std::size_t I) {
     M.Request_ = static_cast<std::uint32_t>(I);
     Size = encode(M, Buffer, sizeof Buffer);
   });
-  Message Read;
-  double Decode =
-      nanoseconds(1'000'000, [&](std::size_t) { decode(Buffer, Size, Read); });
+  Message Decoded;
+  double DecodeNs = nanosecondsPerCall(
+      1'000'000, [&](std::size_t) { decode(Buffer, Size, Decoded); });
   std::cout << R"({"bench": "codec", "bytes": )" << Size << R"(, "encode_ns": )"
-            << Encode << R"(, "decode_ns": )" << Decode << "}\n";
+            << EncodeNs << R"(, "decode_ns": )" << DecodeNs << "}\n";
 }
 
-void flows() {
+void benchFlows() {
   for (std::size_t Count : {34'000, 100'000, 250'000, 500'000}) {
-    double Before = residentBytes();
-    Driver D(parse(document(14)));
-    double Open = nanoseconds(Count, [&](std::size_t I) {
+    double BytesBefore = residentBytes();
+    CoreDriver D(parseOrAbort(declarationText(14)));
+    double OpenNs = nanosecondsPerCall(Count, [&](std::size_t I) {
       D.open(I + 1);
       if (I % 1000 == 0)
         D.tick();
     });
-    double Bytes = residentBytes() - Before;
-    double TickNs = nanoseconds(1000, [&](std::size_t) { D.tick(); });
+    double ResidentBytes = residentBytes() - BytesBefore;
+    double TickNs = nanosecondsPerCall(1000, [&](std::size_t) { D.tick(); });
     std::cout << R"({"bench": "flows", "flows": )" << D.status().Flows_
-              << R"(, "open_and_opened_ns": )" << Open
+              << R"(, "open_and_opened_ns": )" << OpenNs
               << R"(, "table_bytes_per_flow": )"
               << static_cast<double>(D.status().MemoryBytes_) /
                      static_cast<double>(Count)
-              << R"(, "resident_mb": )" << Bytes / 1e6 << R"(, "tick_ns": )"
-              << TickNs << "}\n";
+              << R"(, "resident_mb": )" << ResidentBytes / 1e6
+              << R"(, "tick_ns": )" << TickNs << "}\n";
   }
 }
 
-void upstreams() {
+void benchUpstreams() {
   for (std::size_t Count : {14, 140, 1400, 5000}) {
-    std::string Text = document(Count);
-    double Before = residentBytes();
+    std::string Text = declarationText(Count);
+    double BytesBefore = residentBytes();
     auto Start = Clock::now();
-    DeclarationPtr Read = parse(Text);
-    std::chrono::duration<double, std::milli> Parse = Clock::now() - Start;
+    DeclarationPtr Declaration = parseOrAbort(Text);
+    std::chrono::duration<double, std::milli> ParseTime = Clock::now() - Start;
     Start = Clock::now();
-    Driver D(Read);
-    std::chrono::duration<double, std::milli> Apply = Clock::now() - Start;
-    double Bytes = residentBytes() - Before;
-    double Open = nanoseconds(2000, [&](std::size_t I) { D.open(I + 1); });
+    CoreDriver D(Declaration);
+    std::chrono::duration<double, std::milli> ApplyTime = Clock::now() - Start;
+    double ResidentBytes = residentBytes() - BytesBefore;
+    double OpenNs =
+        nanosecondsPerCall(2000, [&](std::size_t I) { D.open(I + 1); });
     std::cout << R"({"bench": "upstreams", "upstreams": )" << Count
               << R"(, "document_bytes": )" << Text.size() << R"(, "parse_ms": )"
-              << Parse.count() << R"(, "apply_ms": )" << Apply.count()
-              << R"(, "resident_mb": )" << Bytes / 1e6
-              << R"(, "open_and_opened_ns": )" << Open << "}\n";
+              << ParseTime.count() << R"(, "apply_ms": )" << ApplyTime.count()
+              << R"(, "resident_mb": )" << ResidentBytes / 1e6
+              << R"(, "open_and_opened_ns": )" << OpenNs << "}\n";
   }
 }
 
-HostList fleet(std::size_t Count) {
+HostList hostList(std::size_t Count) {
   HostList L;
   for (std::size_t I = 0; I < Count; ++I) {
     Host H;
@@ -224,8 +226,8 @@
   return L;
 }
 
-/// Steps until news from one balancer has reached all over peer links.
-std::size_t stepsToAll(const HostList &L) {
+/// Hops until news from one balancer has reached all over peer links.
+std::size_t hopsToReachAll(const HostList &L) {
   std::vector<std::vector<std::size_t>> Links(L.Hosts_.size());
   for (std::size_t I = 0; I < L.Hosts_.size(); ++I)
     for (const Host &P :
@@ -235,25 +237,25 @@
       Links[J].push_back(I);
     }
   std::vector<bool> Reached(L.Hosts_.size(), false);
-  std::vector<std::size_t> Edge = {0};
+  std::vector<std::size_t> Frontier = {0};
   Reached[0] = true;
-  std::size_t Left = L.Hosts_.size() - 1;
-  std::size_t Steps = 0;
-  for (; Left != 0 && !Edge.empty(); ++Steps) {
+  std::size_t Unreached = L.Hosts_.size() - 1;
+  std::size_t Hops = 0;
+  for (; Unreached != 0 && !Frontier.empty(); ++Hops) {
     std::vector<std::size_t> Next;
-    for (std::size_t I : Edge)
+    for (std::size_t I : Frontier)
       for (std::size_t J : Links[I])
         if (!Reached[J]) {
           Reached[J] = true;
-          --Left;
+          --Unreached;
           Next.push_back(J);
         }
-    Edge = Next;
+    Frontier = Next;
   }
-  return Left == 0 ? Steps : 0;
+  return Unreached == 0 ? Hops : 0;
 }
 
-void control() {
+void benchControl() {
   Heartbeat H;
   H.Name_ = "lb-11999";
   H.Data_ = parseEndpoint("10.20.30.40:7100");
@@ -261,32 +263,32 @@
   H.Versions_ = {
       {{55'000'000, ~std::uint64_t{0}}, {17'000'000, ~std::uint64_t{0}}}};
   std::string Bytes = encodeControl(H, Secret);
-  ControlMessage Read;
-  double Send = nanoseconds(
+  ControlMessage Decoded;
+  double EncodeNs = nanosecondsPerCall(
       100'000, [&](std::size_t) { Bytes = encodeControl(H, Secret); });
-  double Receive = nanoseconds(100'000, [&](std::size_t) {
-    decodeControl(Bytes, {Secret, Secret}, Read);
+  double DecodeNs = nanosecondsPerCall(100'000, [&](std::size_t) {
+    decodeControl(Bytes, {Secret, Secret}, Decoded);
   });
   std::cout << R"({"bench": "heartbeat", "bytes": )" << Bytes.size()
-            << R"(, "encode_ns": )" << Send << R"(, "decode_ns": )" << Receive
-            << "}\n";
+            << R"(, "encode_ns": )" << EncodeNs << R"(, "decode_ns": )"
+            << DecodeNs << "}\n";
   for (std::size_t Count : {8, 100, 1000, 3000}) {
-    HostList L = fleet(Count);
-    double Choose = nanoseconds(20, [&](std::size_t I) {
+    HostList L = hostList(Count);
+    double ChooseNs = nanosecondsPerCall(20, [&](std::size_t I) {
       choosePeers(L, "lb-" + std::to_string(I % Count), "hall-0", 8);
     });
     std::cout << R"({"bench": "peers", "balancers": )" << Count
-              << R"(, "choose_us": )" << Choose / 1000
-              << R"(, "steps_to_all": )" << stepsToAll(L) << "}\n";
+              << R"(, "choose_us": )" << ChooseNs / 1000
+              << R"(, "steps_to_all": )" << hopsToReachAll(L) << "}\n";
   }
 }
 
 } // namespace
 
 int main() {
-  decisions();
-  codec();
-  flows();
-  upstreams();
-  control();
+  benchDecisions();
+  benchCodec();
+  benchFlows();
+  benchUpstreams();
+  benchControl();
 }
--- a/bench/data-path.cc
+++ b/bench/data-path.cc
@@ -19,14 +19,14 @@
 
 using Clock = std::chrono::steady_clock;
 
-constexpr auto RunFor = std::chrono::seconds(3);
+constexpr auto RunTime = std::chrono::seconds(3);
 constexpr std::size_t FullWindow = 256;
 constexpr std::size_t PayloadBytes = 128;
 const SecretKey Secret = {1, 2, 3};
-const ServiceId Index = static_cast<ServiceId>(nameId("index"));
-const Endpoint EchoAt = parseEndpoint("127.0.0.1:9401");
-const Endpoint MiddleAt = parseEndpoint("127.0.0.1:9402");
-const Endpoint MiddleUpAt = parseEndpoint("127.0.0.1:9403");
+const ServiceId Service = static_cast<ServiceId>(nameId("index"));
+const Endpoint EchoAddress = parseEndpoint("127.0.0.1:9401");
+const Endpoint ProxyAddress = parseEndpoint("127.0.0.1:9402");
+const Endpoint ProxyUpstreamAddress = parseEndpoint("127.0.0.1:9403");
 
 Moment now() {
   auto Mono =
@@ -37,13 +37,13 @@
 }
 
 /// Runs sockets on a thread of its own until it is destroyed.
-template <typename T> class Threaded {
+template <typename T> class ThreadRunner {
 public:
   template <typename... Args>
-  explicit Threaded(const Args &...Given)
-      : Context_(1), Body_(Context_, Given...),
+  explicit ThreadRunner(const Args &...Arguments)
+      : Context_(1), Body_(Context_, Arguments...),
         Thread_([this] { Context_.run(); }) {}
-  ~Threaded() {
+  ~ThreadRunner() {
     Context_.stop();
     Thread_.join();
   }
@@ -55,11 +55,11 @@
 /// Sends everything back: as it is, or as an upstream answers.
 class Echo {
 public:
-  Echo(asio::io_context &Context, bool Bare)
-      : Socket_(Context, EchoAt,
-                [this, Bare](const Endpoint &From, const std::uint8_t *Data,
-                             std::size_t Size) {
-                  if (Bare)
+  Echo(asio::io_context &Context, bool PlainEcho)
+      : Socket_(Context, EchoAddress,
+                [this, PlainEcho](const Endpoint &From,
+                                  const std::uint8_t *Data, std::size_t Size) {
+                  if (PlainEcho)
                     return Socket_.send(From, Data, Size);
                   answer(From, Data, Size);
                 }) {}
@@ -82,23 +82,25 @@
 class Relay {
 public:
   explicit Relay(asio::io_context &Context)
-      : Up_(Context, MiddleUpAt,
-            [this](const Endpoint &, const std::uint8_t *Data,
-                   std::size_t Size) { Front_.send(Caller_, Data, Size); }),
-        Front_(Context, MiddleAt,
-               [this](const Endpoint &From, const std::uint8_t *Data,
-                      std::size_t Size) {
-                 Caller_ = From;
-                 Up_.send(EchoAt, Data, Size);
-               }) {}
+      : UpstreamSocket_(Context, ProxyUpstreamAddress,
+                        [this](const Endpoint &, const std::uint8_t *Data,
+                               std::size_t Size) {
+                          CallerSocket_.send(Caller_, Data, Size);
+                        }),
+        CallerSocket_(Context, ProxyAddress,
+                      [this](const Endpoint &From, const std::uint8_t *Data,
+                             std::size_t Size) {
+                        Caller_ = From;
+                        UpstreamSocket_.send(EchoAddress, Data, Size);
+                      }) {}
 
 private:
   Endpoint Caller_;
-  UdpSocket Up_;
-  UdpSocket Front_;
+  UdpSocket UpstreamSocket_;
+  UdpSocket CallerSocket_;
 };
 
-DeclarationPtr declaration() {
+DeclarationPtr benchDeclaration() {
   return boost::leaf::try_handle_all(
       [] {
         return parseDeclaration(
@@ -114,9 +116,9 @@
 }
 
 /// The balancer's data path: the same sockets and codec as its process.
-class Middle {
+class BalancerProxy {
 public:
-  explicit Middle(asio::io_context &Context)
+  explicit BalancerProxy(asio::io_context &Context)
       : Core_(BalancerBuilder()
                   .name("lb")
                   .dataAddress(parseEndpoint("127.0.0.1:9404"))
@@ -126,35 +128,37 @@
                     return LocalMinute{};
                   })
                   .build()),
-        Sink_([this](const Action &A) { act(A); }),
-        Up_(Context, MiddleUpAt,
-            [this](const Endpoint &From, const std::uint8_t *Data,
-                   std::size_t Size) {
-              FromUpstream E{From, {}};
-              if (decode(Data, Size, E.Message_) == ErrorKind::None)
-                Core_.handle(now(), E, Sink_);
-            }),
-        Front_(Context, MiddleAt,
-               [this](const Endpoint &From, const std::uint8_t *Data,
-                      std::size_t Size) {
-                 FromCaller E{From, {}, Size};
-                 if (decode(Data, Size, E.Message_) != ErrorKind::None)
-                   return;
-                 E.Message_.Service_ = Index;
-                 Core_.handle(now(), E, Sink_);
-               }),
+        Sink_([this](const Action &A) { perform(A); }),
+        UpstreamSocket_(Context, ProxyUpstreamAddress,
+                        [this](const Endpoint &From, const std::uint8_t *Data,
+                               std::size_t Size) {
+                          FromUpstream E{From, {}};
+                          if (decode(Data, Size, E.Message_) == ErrorKind::None)
+                            Core_.handle(now(), E, Sink_);
+                        }),
+        CallerSocket_(Context, ProxyAddress,
+                      [this](const Endpoint &From, const std::uint8_t *Data,
+                             std::size_t Size) {
+                        FromCaller E{From, {}, Size};
+                        if (decode(Data, Size, E.Message_) != ErrorKind::None)
+                          return;
+                        E.Message_.Service_ = Service;
+                        Core_.handle(now(), E, Sink_);
+                      }),
         Timer_(Context) {
-    Core_.handle(now(), DeclarationRead{declaration()}, Sink_);
+    Core_.handle(now(), DeclarationRead{benchDeclaration()}, Sink_);
     tick();
   }
 
 private:
-  void act(const Action &A) {
+  void perform(const Action &A) {
     std::uint8_t Buffer[MaxDatagram + MaxHeader];
     if (const auto *C = std::get_if<ToCaller>(&A))
-      Front_.send(C->To_, Buffer, encode(C->Message_, Buffer, sizeof Buffer));
+      CallerSocket_.send(C->To_, Buffer,
+                         encode(C->Message_, Buffer, sizeof Buffer));
     else if (const auto *U = std::get_if<ToUpstream>(&A))
-      Up_.send(U->To_, Buffer, encode(U->Message_, Buffer, sizeof Buffer));
+      UpstreamSocket_.send(U->To_, Buffer,
+                           encode(U->Message_, Buffer, sizeof Buffer));
   }
   void tick() {
     Core_.handle(now(), Tick{}, Sink_);
@@ -166,34 +170,35 @@
   }
   Balancer Core_;
   ActionSink Sink_;
-  UdpSocket Up_;
-  UdpSocket Front_;
+  UdpSocket UpstreamSocket_;
+  UdpSocket CallerSocket_;
   asio::steady_timer Timer_;
 };
 
 /// Keeps a window of requests open and counts what comes back.
 class Generator {
 public:
-  Generator(asio::io_context &Context, std::size_t Open, bool Repeatable)
-      : Window_(Open), Repeatable_(Repeatable),
+  Generator(asio::io_context &Context, std::size_t Window, bool Repeatable)
+      : Window_(Window), Repeatable_(Repeatable),
         Socket_(Context, parseEndpoint("127.0.0.1:0"),
                 [this](const Endpoint &, const std::uint8_t *Data,
                        std::size_t Size) { receive(Data, Size); }),
         Timer_(Context) {
     send(Kind::Open, 0);
-    watch();
+    refillIfStalled();
   }
-  std::uint64_t done() const { return Done_; }
-  Micros quantile(double Share) {
-    std::sort(Delays_.begin(), Delays_.end());
-    auto At =
-        static_cast<std::size_t>(Share * static_cast<double>(Delays_.size()));
-    return Delays_.empty() ? Micros{}
-                           : Delays_[std::min(At, Delays_.size() - 1)];
+  std::uint64_t completed() const { return Completed_; }
+  Micros quantile(double Fraction) {
+    std::sort(Latencies_.begin(), Latencies_.end());
+    auto Rank = static_cast<std::size_t>(
+        Fraction * static_cast<double>(Latencies_.size()));
+    return Latencies_.empty()
+               ? Micros{}
+               : Latencies_[std::min(Rank, Latencies_.size() - 1)];
   }
 
 private:
-  static constexpr std::size_t MaxDelays = 2'000'000;
+  static constexpr std::size_t MaxLatencies = 2'000'000;
 
   void receive(const std::uint8_t *Data, std::size_t Size) {
     Message M;
@@ -206,56 +211,57 @@
       Route_ = seal({}, Secret);
       if (M.Kind_ == Kind::Opened)
         std::copy_n(M.Route_.Data_, M.Route_.Size_, Route_.Bytes_.begin());
-      fill();
+      sendWindow();
       return;
     }
-    ++Done_;
-    Last_ = Clock::now();
+    ++Completed_;
+    LastAnswer_ = Clock::now();
     auto Sent = SentAt_[M.Request_ % SentAt_.size()];
-    if (Delays_.size() < MaxDelays)
-      Delays_.push_back(std::chrono::duration_cast<Micros>(Last_ - Sent));
-    send(Kind::Request, ++Number_);
+    if (Latencies_.size() < MaxLatencies)
+      Latencies_.push_back(
+          std::chrono::duration_cast<Micros>(LastAnswer_ - Sent));
+    send(Kind::Request, ++LastRequest_);
   }
-  void fill() {
+  void sendWindow() {
     for (std::size_t I = 0; I < Window_; ++I)
-      send(Kind::Request, ++Number_);
+      send(Kind::Request, ++LastRequest_);
   }
   /// A window that stands still lost its datagrams; it is filled again.
-  void watch() {
+  void refillIfStalled() {
     Timer_.expires_after(std::chrono::milliseconds(50));
     Timer_.async_wait([this](const asio::error_code &Error) {
       if (Error)
         return;
       if (Route_.Size_ == 0)
         send(Kind::Open, 0);
-      else if (Clock::now() - Last_ > std::chrono::milliseconds(50))
-        fill();
-      watch();
+      else if (Clock::now() - LastAnswer_ > std::chrono::milliseconds(50))
+        sendWindow();
+      refillIfStalled();
     });
   }
-  void send(Kind K, std::uint32_t Number) {
+  void send(Kind K, std::uint32_t Request) {
     std::uint8_t Payload[Balancer::MinOpenSize] = {};
     Message M;
     M.Kind_ = K;
     M.Flow_ = FlowId{77};
-    M.Request_ = Number;
+    M.Request_ = Request;
     M.Flags_ = Repeatable_ ? FlagRepeatable : 0;
     M.Route_ = Route_.bytes();
     M.Payload_ = {Payload, K == Kind::Open ? sizeof Payload : PayloadBytes};
     std::uint8_t Buffer[MaxDatagram];
-    SentAt_[Number % SentAt_.size()] = Clock::now();
+    SentAt_[Request % SentAt_.size()] = Clock::now();
     std::size_t Size = encode(M, Buffer, sizeof Buffer);
-    Socket_.send(MiddleAt, Buffer, Size);
+    Socket_.send(ProxyAddress, Buffer, Size);
   }
 
   std::size_t Window_;
   bool Repeatable_;
   std::array<Clock::time_point, 4096> SentAt_{};
-  std::vector<Micros> Delays_;
+  std::vector<Micros> Latencies_;
   SealedRoute Route_;
-  std::uint32_t Number_ = 0;
-  std::atomic<std::uint64_t> Done_{0};
-  Clock::time_point Last_;
+  std::uint32_t LastRequest_ = 0;
+  std::atomic<std::uint64_t> Completed_{0};
+  Clock::time_point LastAnswer_;
   UdpSocket Socket_;
   asio::steady_timer Timer_;
 };
@@ -267,24 +273,25 @@
 };
 
 template <typename T>
-Result measure(bool Bare, std::size_t Open, bool Repeatable) {
-  Threaded<Echo> Upstream(Bare);
-  Threaded<T> InMiddle;
-  Threaded<Generator> Source(Open, Repeatable);
-  std::this_thread::sleep_for(RunFor / 6);
-  std::uint64_t Before = Source.Body_.done();
-  std::this_thread::sleep_for(RunFor);
-  std::uint64_t After = Source.Body_.done();
-  Source.Context_.stop();
+Result measure(bool PlainEcho, std::size_t Window, bool Repeatable) {
+  ThreadRunner<Echo> Upstream(PlainEcho);
+  ThreadRunner<T> Proxy;
+  ThreadRunner<Generator> Load(Window, Repeatable);
+  std::this_thread::sleep_for(RunTime / 6);
+  std::uint64_t Before = Load.Body_.completed();
+  std::this_thread::sleep_for(RunTime);
+  std::uint64_t After = Load.Body_.completed();
+  Load.Context_.stop();
   std::this_thread::sleep_for(std::chrono::milliseconds(50));
   return {static_cast<double>(After - Before) /
-              std::chrono::duration<double>(RunFor).count(),
-          Source.Body_.quantile(0.5), Source.Body_.quantile(0.99)};
+              std::chrono::duration<double>(RunTime).count(),
+          Load.Body_.quantile(0.5), Load.Body_.quantile(0.99)};
 }
 
-void print(const char *What, std::size_t Open, const Result &R, double Ratio) {
-  std::cout << R"({"bench": "data-path", "middle": ")" << What
-            << R"(", "window": )" << Open << R"(, "round_trips_per_second": )"
+void print(const char *Proxy, std::size_t Window, const Result &R,
+           double Ratio) {
+  std::cout << R"({"bench": "data-path", "middle": ")" << Proxy
+            << R"(", "window": )" << Window << R"(, "round_trips_per_second": )"
             << R.PerSecond_ << R"(, "p50_us": )" << R.Median_.count()
             << R"(, "p99_us": )" << R.P99_.count() << R"(, "of_relay": )"
             << Ratio << "}" << std::endl;
@@ -293,14 +300,15 @@
 } // namespace
 
 int main() {
-  for (std::size_t Open : {FullWindow, std::size_t{1}})
+  for (std::size_t Window : {FullWindow, std::size_t{1}})
     for (int Round = 0; Round < 3; ++Round) {
-      Result Bare = measure<Relay>(true, Open, true);
-      Result Many = measure<Middle>(false, Open, true);
-      Result Once = measure<Middle>(false, Open, false);
-      print("relay", Open, Bare, 1);
-      print("balancer, repeatable", Open, Many,
-            Many.PerSecond_ / Bare.PerSecond_);
-      print("balancer, once", Open, Once, Once.PerSecond_ / Bare.PerSecond_);
+      Result RelayResult = measure<Relay>(true, Window, true);
+      Result RepeatableResult = measure<BalancerProxy>(false, Window, true);
+      Result OnceResult = measure<BalancerProxy>(false, Window, false);
+      print("relay", Window, RelayResult, 1);
+      print("balancer, repeatable", Window, RepeatableResult,
+            RepeatableResult.PerSecond_ / RelayResult.PerSecond_);
+      print("balancer, once", Window, OnceResult,
+            OnceResult.PerSecond_ / RelayResult.PerSecond_);
     }
 }
