--- a/bench/cold-ways.cc
+++ b/bench/cold-ways.cc
@@ -1,6 +1,8 @@
-// Compares ways to keep a fleet within the limit of cold upstreams, on virtual
-// time: worst sliding second over the limit, capacity used and flows rejected,
-// over seeds, beliefs and loads. Usage: cold-ways [SECONDS]
+// Compares algorithms that limit the flows to cold upstreams over a fleet, in a
+// simulation. For each, prints the highest flow count in a sliding second
+// relative to the limit, the capacity used and the share of rejected flows, as
+// the worst case over seeds, membership views and loads.
+// Usage: cold-ways [SECONDS]
 #include "cold-fleet.h"
 
 #include <algorithm>
@@ -19,9 +21,9 @@
   std::size_t Warm_;
   std::size_t Cold_;
 };
-constexpr Load Loads[] = {{"one cold of 120", 119, 1},
-                          {"eight released", 112, 8},
-                          {"a hall of 40", 80, 40},
+constexpr Load Loads[] = {{"1 of 120 cold", 119, 1},
+                          {"8 of 120 cold", 112, 8},
+                          {"40 of 120 cold", 80, 40},
                           {"all 40 cold", 0, 40}};
 
 void compare(std::size_t Balancers, double PerSecond, ColdWay Way,
@@ -56,8 +58,8 @@
 
 int main(int Count, char **Values) {
   double Seconds = Count > 1 ? std::atof(Values[1]) : 6;
-  std::printf("balancers, limit, way, fullest second over the limit, used "
-              "(alike, least), rejected (most), worst at\n");
+  std::printf("balancers, limit per second, algorithm, peak second/limit, "
+              "minimum used (equal views), maximum rejected, peak at\n");
   for (std::size_t Balancers : {8U, 90U, 300U})
     for (double PerSecond : {2.0, 10.0, 50.0})
       for (ColdWay Way :
--- a/bench/core-bench.cc
+++ b/bench/core-bench.cc
@@ -1,5 +1,5 @@
-// Cost of the core's decisions and tables, and their slopes over sizes. Prints
-// one JSON object a line. All figures are of one thread.
+// Benchmarks the core's decisions, codecs and tables on one thread, for several
+// table and fleet sizes. Prints one JSON object per line.
 #include "thymewall/balancer.h"
 #include "thymewall/control.h"
 
@@ -44,7 +44,7 @@
       []() -> DeclarationPtr { std::abort(); });
 }
 
-/// Resident bytes of this process.
+/// Returns the resident memory of this process in bytes.
 double residentBytes() {
   std::ifstream In("/proc/self/statm");
   std::size_t Total = 0;
@@ -63,7 +63,7 @@
   return Elapsed.count() / static_cast<double>(Count);
 }
 
-/// A core whose upstreams answer at once.
+/// Drives a balancer core by events, with simulated upstream replies.
 class CoreDriver {
 public:
   explicit CoreDriver(const DeclarationPtr &D)
@@ -226,7 +226,8 @@
   return L;
 }
 
-/// Hops until news from one balancer has reached all over peer links.
+/// Returns the number of hops over peer links after which news from the first
+/// balancer has reached all balancers, or 0 if some are unreachable.
 std::size_t hopsToReachAll(const HostList &L) {
   std::vector<std::vector<std::size_t>> Links(L.Hosts_.size());
   for (std::size_t I = 0; I < L.Hosts_.size(); ++I)
--- a/bench/data-path.cc
+++ b/bench/data-path.cc
@@ -1,6 +1,6 @@
-// Throughput of one thread in the middle, over loopback UDP: first a bare
-// relay, then a balancer, alternating in one run. A generator keeps a window of
-// requests open; an echo answers each. Prints one JSON object a line.
+// Measures the throughput of a single-threaded proxy over loopback UDP. A plain
+// relay and a balancer run in turn. A generator keeps a window of requests in
+// flight, and an echo server answers them. Prints one JSON object per line.
 #include "app-payload.h"
 #include "thymewall/balancer.h"
 #include "udp-socket.h"
@@ -36,7 +36,7 @@
   return {MonoTime(Mono), WallTime(Wall)};
 }
 
-/// Runs sockets on a thread of its own until it is destroyed.
+/// Runs an object with an I/O context on its own thread until destruction.
 template <typename T> class ThreadRunner {
 public:
   template <typename... Args>
@@ -52,7 +52,7 @@
   std::thread Thread_;
 };
 
-/// Sends everything back: as it is, or as an upstream answers.
+/// Sends each datagram back, unchanged or as an upstream's answer.
 class Echo {
 public:
   Echo(asio::io_context &Context, bool PlainEcho)
@@ -78,7 +78,7 @@
   UdpSocket Socket_;
 };
 
-/// One socket each way, no look at what passes.
+/// Forwards datagrams in both directions without decoding them.
 class Relay {
 public:
   explicit Relay(asio::io_context &Context)
@@ -115,7 +115,7 @@
       []() -> DeclarationPtr { std::abort(); });
 }
 
-/// The balancer's data path: the same sockets and codec as its process.
+/// Data path of a balancer, with the sockets and the codec of its process.
 class BalancerProxy {
 public:
   explicit BalancerProxy(asio::io_context &Context)
@@ -175,7 +175,7 @@
   asio::steady_timer Timer_;
 };
 
-/// Keeps a window of requests open and counts what comes back.
+/// Keeps a window of requests in flight, counts answers and records latencies.
 class Generator {
 public:
   Generator(asio::io_context &Context, std::size_t Window, bool Repeatable)
@@ -207,7 +207,7 @@
     if (M.Kind_ == Kind::Opened || M.Kind_ == Kind::Open) {
       if (Route_.Size_ != 0)
         return;
-      // The bare relay brings no route back: the same bytes stand in.
+      // The relay returns no route; a route of equal size takes its place.
       Route_ = seal({}, Secret);
       if (M.Kind_ == Kind::Opened)
         std::copy_n(M.Route_.Data_, M.Route_.Size_, Route_.Bytes_.begin());
@@ -226,7 +226,7 @@
     for (std::size_t I = 0; I < Window_; ++I)
       send(Kind::Request, ++LastRequest_);
   }
-  /// A window that stands still lost its datagrams; it is filled again.
+  /// Sends the window again when no answer arrives: its datagrams were lost.
   void refillIfStalled() {
     Timer_.expires_after(std::chrono::milliseconds(50));
     Timer_.async_wait([this](const asio::error_code &Error) {
