--- a/soak/soak-main.cc
+++ b/soak/soak-main.cc
@@ -293,7 +293,7 @@
         "balancers", "number of balancers, at most 200",
         cxxopts::value<std::size_t>()->default_value("6"))(
         "planned", "no faults, only rolling restarts and route changes")(
-        "program", "path of thymewall-packet-balancer",
+        "program", "thymewall-packet-balancer",
         cxxopts::value<std::string>())("folder", "folder for settings and logs",
                                        cxxopts::value<std::string>());
     auto Arguments = parseArguments(Options, Count, Values);
@@ -308,7 +308,7 @@
     Soak Test(Seed, Balancers, Arguments["program"].as<std::string>(), Folder);
     bool Passed = Test.run(std::chrono::seconds(Arguments["seconds"].as<int>()),
                            Arguments.count("planned") != 0);
-    std::cout << "seed " << Seed << ": " << (Passed ? "passed" : "FAILED")
+    std::cout << "seed " << Seed << ": " << (Passed ? "kept" : "BROKEN")
               << "\n";
     return Passed ? ExitDone : ExitFoundWrong;
   });
--- a/test/standin/upstream.cc
+++ b/test/standin/upstream.cc
@@ -325,8 +325,7 @@
   Arguments.add_options()("name", "name in the record",
                           cxxopts::value<std::string>())(
       "listen", "IP:PORT to listen on", cxxopts::value<std::string>())(
-      "services", "names of the services",
-      cxxopts::value<std::vector<std::string>>())(
+      "services", "names", cxxopts::value<std::vector<std::string>>())(
       "slots", "requests that run at once",
       cxxopts::value<std::size_t>()->default_value("1"))(
       "queue", "waiting requests before others are refused",
