--- a/soak/soak-main.cc
+++ b/soak/soak-main.cc
@@ -224,7 +224,7 @@
     bool Clean = true;
     for (const auto &Child : Children_)
       if (Child->logContains("peer_message_refused")) {
-        std::cout << "violation: a balancer refused a message of a peer\n";
+        std::cout << "broken: a balancer refused a message of a peer\n";
         Clean = false;
       }
     return Clean;
@@ -238,23 +238,22 @@
         static_cast<double>(CountsAfter_.Answered_ - CountsBefore_.Answered_);
     bool Recovered = Sent > 0 && Answered >= MinAnsweredShare * Sent;
     for (const std::string &What : Environment_.violations())
-      std::cout << "violation: " << What << "\n";
+      std::cout << "broken: " << What << "\n";
     for (const std::string &What : UnexpectedExits_)
-      std::cout << "violation: " << What << "\n";
+      std::cout << "broken: " << What << "\n";
     if (!Recovered)
-      std::cout << "violation: " << Answered << " of " << Sent
+      std::cout << "broken: " << Answered << " of " << Sent
                 << " requests answered after the last fault\n";
     if (NotReady_ != 0)
-      std::cout << "violation: " << NotReady_ << " balancers not ready\n";
+      std::cout << "broken: " << NotReady_ << " balancers not ready\n";
     std::size_t Running = 0;
     for (const auto &Child : Children_)
       Running += Child->running() ? 1 : 0;
     if (Running != 0)
-      std::cout << "violation: " << Running
-                << " processes did not stop in time\n";
+      std::cout << "broken: " << Running << " processes did not stop in time\n";
     bool LostRequests = PlannedOnly_ && Total.Failed_ != 0;
     if (LostRequests)
-      std::cout << "violation: " << Total.Failed_
+      std::cout << "broken: " << Total.Failed_
                 << " requests failed during rolling restarts\n";
     std::cout << "requests " << Total.Requests_ << ", answered "
               << Total.Answered_ << ", late " << Total.Late_ << ", failed "
