--- a/bench/cold-ways.cc
+++ b/bench/cold-ways.cc
@@ -1,6 +1,8 @@
-// Compares ways to keep a fleet within the limit of cold upstreams, on virtual
-// time: worst sliding second over the limit, capacity used and flows rejected,
-// over seeds, beliefs and loads. Usage: cold-ways [SECONDS]
+// Compares algorithms that limit the flows to cold upstreams over a fleet, in a
+// simulation. For each, prints the highest flow count in a sliding second
+// relative to the limit, the capacity used and the share of rejected flows, as
+// the worst case over seeds, membership views and loads.
+// Usage: cold-ways [SECONDS]
 #include "cold-fleet.h"
 
 #include <algorithm>
@@ -19,49 +21,49 @@
   std::size_t Warm_;
   std::size_t Cold_;
 };
-constexpr Load Loads[] = {{"one cold of 120", 119, 1},
-                          {"eight released", 112, 8},
-                          {"a hall of 40", 80, 40},
+constexpr Load Loads[] = {{"1 of 120 cold", 119, 1},
+                          {"8 of 120 cold", 112, 8},
+                          {"40 of 120 cold", 80, 40},
                           {"all 40 cold", 0, 40}};
 
 void compare(std::size_t Balancers, double PerSecond, AdmissionPolicy Policy,
-             double For) {
+             double Seconds) {
   ColdOutcome Worst;
-  double LeastUsed = 1e9;
+  double MinUsed = 1e9;
   std::string WorstAt;
   for (const Load &L : Loads)
-    for (int Which = 0; Which <= static_cast<int>(MembershipModel::Restarted);
-         ++Which) {
+    for (int Belief = 0; Belief <= static_cast<int>(MembershipModel::Restarted);
+         ++Belief) {
       ColdScenario S{Balancers,
                      L.Warm_,
                      L.Cold_,
                      {PerSecond, 1.5, 5},
-                     static_cast<MembershipModel>(Which)};
+                     static_cast<MembershipModel>(Belief)};
       for (std::uint64_t Seed = 1; Seed <= Seeds; ++Seed) {
-        ColdOutcome O = simulate(S, Policy, For, Seed);
+        ColdOutcome O = simulate(S, Policy, Seconds, Seed);
         if (O.PeakRatio_ > Worst.PeakRatio_)
           WorstAt = std::string(L.Name_) + ", " + nameOf(S.Membership_);
         Worst.PeakRatio_ = std::max(Worst.PeakRatio_, O.PeakRatio_);
         Worst.Rejected_ = std::max(Worst.Rejected_, O.Rejected_);
         if (S.Membership_ == MembershipModel::Complete)
-          LeastUsed = std::min(LeastUsed, O.Utilization_);
+          MinUsed = std::min(MinUsed, O.Utilization_);
       }
     }
   std::printf("%4zu %5.0f  %-7s %6.2f  %5.2f  %5.2f  %s\n", Balancers,
-              PerSecond, nameOf(Policy).c_str(), Worst.PeakRatio_, LeastUsed,
+              PerSecond, nameOf(Policy).c_str(), Worst.PeakRatio_, MinUsed,
               Worst.Rejected_, WorstAt.c_str());
 }
 
 } // namespace
 
 int main(int Count, char **Values) {
-  double For = Count > 1 ? std::atof(Values[1]) : 6;
-  std::printf("balancers, limit, way, fullest second over the limit, used "
-              "(alike, least), rejected (most), worst at\n");
+  double Seconds = Count > 1 ? std::atof(Values[1]) : 6;
+  std::printf("balancers, limit per second, algorithm, peak second/limit, "
+              "minimum used (equal views), maximum rejected, peak at\n");
   for (std::size_t Balancers : {8U, 90U, 300U})
     for (double PerSecond : {2.0, 10.0, 50.0})
       for (AdmissionPolicy Policy :
            {AdmissionPolicy::Ramp, AdmissionPolicy::Bucket,
             AdmissionPolicy::Owners, AdmissionPolicy::Weight})
-        compare(Balancers, PerSecond, Policy, For);
+        compare(Balancers, PerSecond, Policy, Seconds);
 }
--- a/src/balancer-process.cc
+++ b/src/balancer-process.cc
@@ -162,7 +162,8 @@
   updateWatching();
 }
 
-UdpSocket::ReceiveHandler BalancerProcess::Impl::receiver(DatagramHandler Function) {
+UdpSocket::ReceiveHandler
+BalancerProcess::Impl::receiver(DatagramHandler Function) {
   return [this, Function](const Endpoint &From, const std::uint8_t *Data,
                           std::size_t Size) {
     (this->*Function)(From, Data, Size);
--- a/src/ctl-main.cc
+++ b/src/ctl-main.cc
@@ -74,7 +74,8 @@
         AddProblems, [] {});
   }
   printProblems(AllProblems);
-  std::cout << Files.size() << " checked, " << AllProblems.size() << " problems\n";
+  std::cout << Files.size() << " checked, " << AllProblems.size()
+            << " problems\n";
   return AllProblems.empty() ? ExitSuccess : ExitFailure;
 }
 
@@ -97,7 +98,7 @@
 }
 
 std::set<std::string> eligibleNames(const Declaration &D, const Service &S,
-                                   WallTime When) {
+                                    WallTime When) {
   std::set<std::string> Names;
   for (std::size_t Index : selectedUpstreams(D, S, timeZoneClock(), When))
     Names.insert(D.Upstreams_[Index].Name_);
@@ -185,14 +186,15 @@
 }
 
 /// Prints where each packet balancer sends new flows to \p ServiceAddress.
-int route(const std::string &ServiceAddress, const std::vector<std::string> &Addresses) {
+int route(const std::string &ServiceAddress,
+          const std::vector<std::string> &Addresses) {
   bool AllFound = true;
   for (const std::string &Address : Addresses) {
     std::optional<Json> Page = fetchStatus(Address);
     if (!Page)
       std::cout << Address << ": no answer\n";
-    bool Found =
-        Page && isPacketStatus(*Page) && printRoute(*Page, ServiceAddress, std::cout);
+    bool Found = Page && isPacketStatus(*Page) &&
+                 printRoute(*Page, ServiceAddress, std::cout);
     AllFound = AllFound && Found;
   }
   return AllFound ? ExitSuccess : ExitFailure;
@@ -201,7 +203,7 @@
 /// Waits until every balancer has applied \p Wanted or a later version, and
 /// prints the elapsed seconds.
 int waitForVersion(const std::vector<std::string> &Addresses, Version Wanted,
-            int TimeoutSeconds) {
+                   int TimeoutSeconds) {
   constexpr auto PollInterval = std::chrono::milliseconds(20);
   auto Start = std::chrono::steady_clock::now();
   auto Deadline = Start + std::chrono::seconds(TimeoutSeconds);
@@ -214,7 +216,8 @@
     }
     std::this_thread::sleep_for(PollInterval);
   }
-  std::chrono::duration<double> Elapsed = std::chrono::steady_clock::now() - Start;
+  std::chrono::duration<double> Elapsed =
+      std::chrono::steady_clock::now() - Start;
   std::cout << Elapsed.count() << "\n";
   for (const std::string &Address : Remaining)
     std::cerr << Address << ": version " << Wanted << " is not in force\n";
@@ -275,8 +278,9 @@
     return route(Operands.front(),
                  addresses({Operands.begin() + 1, Operands.end()}, Arguments));
   if (Command == "wait")
-    return waitForVersion(addresses(Operands, Arguments), Arguments["is"].as<Version>(),
-                   Arguments["timeout"].as<int>());
+    return waitForVersion(addresses(Operands, Arguments),
+                          Arguments["is"].as<Version>(),
+                          Arguments["timeout"].as<int>());
   throw UsageError("\"" + Command + "\" is not a command; see --help");
 }
 
--- a/src/load-run.cc
+++ b/src/load-run.cc
@@ -233,7 +233,8 @@
   PendingRequest P;
   P.Id_ = Random_();
   P.Number_ = ++F.Number_;
-  P.AtMostOnce_ = std::generate_canonical<double, 32>(Random_) < C.AtMostOnceFraction_;
+  P.AtMostOnce_ =
+      std::generate_canonical<double, 32>(Random_) < C.AtMostOnceFraction_;
   P.Route_ = F.Route_;
   P.SentAt_ = Now;
   P.GiveUpAt_ = Now + C.RequestTimeout_ + GraceAfterDeadline;
@@ -402,7 +403,8 @@
   auto Now = std::chrono::steady_clock::now();
   if (F.State_ == State::Opening)
     return reopen(F, Now + ResendInterval);
-  bool IsCurrent = F.State_ == State::Requesting && M.Request_ == F.Pending_.Number_;
+  bool IsCurrent =
+      F.State_ == State::Requesting && M.Request_ == F.Pending_.Number_;
   if (M.Request_ != 0 && !IsCurrent)
     return;
   ++Totals_.BrokenFlows_;
--- a/src/packet-log.cc
+++ b/src/packet-log.cc
@@ -100,7 +100,7 @@
                       {"address", formatEndpoint(Event.Address_)},
                       {"revision", Event.Revision_}};
   bool HasEvidence = Event.Kind_ == UpstreamEvent::Kind::Stalled ||
-                Event.Kind_ == UpstreamEvent::Kind::Failing;
+                     Event.Kind_ == UpstreamEvent::Kind::Failing;
   if (HasEvidence) {
     Fields.emplace_back(Event.Kind_ == UpstreamEvent::Kind::Stalled
                             ? "unanswered"
@@ -113,8 +113,8 @@
 
 void logReset(const ResetFlow &R) {
   logRateLimited("flow_reset", {{"caller", formatEndpoint(R.Caller_)},
-                             {"address", formatEndpoint(R.Service_)},
-                             {"reason", errorRow(R.Error_).Name_}});
+                                {"address", formatEndpoint(R.Service_)},
+                                {"reason", errorRow(R.Error_).Name_}});
 }
 
 void logEvacuation(const EvacuationChange &Change) {
@@ -124,18 +124,18 @@
 }
 
 void logUpstreamSummary(const std::vector<UpstreamChange> &Changes,
-                  Revision Through) {
+                        Revision Through) {
   auto Listed = std::count_if(
       Changes.begin(), Changes.end(),
       [](const UpstreamChange &C) { return C.Entry_ && !C.Ended_; });
   logRateLimited("upstreams_told", {{"listed", Listed},
-                                 {"ended", Changes.size() - Listed},
-                                 {"revision", Through}});
+                                    {"ended", Changes.size() - Listed},
+                                    {"revision", Through}});
 }
 
 void logRouting(const RoutingTable &Table) {
   logRateLimited("routing_in_force", {{"version", Table.Version_},
-                                   {"addresses", Table.Addresses_.size()}});
+                                      {"addresses", Table.Addresses_.size()}});
 }
 
 void ConfigServiceLog::answered(MonoTime Now, const ConfigResponse &Response) {
@@ -152,8 +152,9 @@
     FailedAt_ = MonoTime{};
     return;
   }
-  Write_("configuration_service_call_failed",
-         {{"outcome", nameOf(Response.Outcome_)}, {"reason", Response.Reason_}});
+  Write_(
+      "configuration_service_call_failed",
+      {{"outcome", nameOf(Response.Outcome_)}, {"reason", Response.Reason_}});
   FailedAt_ = Now;
 }
 
--- a/src/packet-log.h
+++ b/src/packet-log.h
@@ -17,7 +17,8 @@
 void logReset(const ResetFlow &R);
 void logEvacuation(const EvacuationChange &Change);
 /// Logs the numbers of listed and ended upstreams instead of a line for each.
-void logUpstreamSummary(const std::vector<UpstreamChange> &Changes, Revision Through);
+void logUpstreamSummary(const std::vector<UpstreamChange> &Changes,
+                        Revision Through);
 void logRouting(const RoutingTable &Table);
 
 /// Logs the availability of the configuration service: the first failed call,
@@ -27,7 +28,8 @@
 public:
   using Writer = std::function<void(std::string_view, const LogFields &)>;
 
-  explicit ConfigServiceLog(Writer Write = logState) : Write_(std::move(Write)) {}
+  explicit ConfigServiceLog(Writer Write = logState)
+      : Write_(std::move(Write)) {}
 
   void answered(MonoTime Now, const ConfigResponse &Response);
   /// Records that the state is complete as of \p AsOf, whoever read it.
--- a/src/packet-pages.cc
+++ b/src/packet-pages.cc
@@ -16,7 +16,8 @@
     const std::array<PeerTraffic::TrafficCount, PeerTraffic::KindCount> &Counts,
     std::vector<NamedValue> &Result) {
   for (std::size_t Kind = 0; Kind < PeerTraffic::KindCount; ++Kind) {
-    std::string Suffix = std::string(PeerTraffic::KindNames[Kind]) + "_" + Direction;
+    std::string Suffix =
+        std::string(PeerTraffic::KindNames[Kind]) + "_" + Direction;
     Result.emplace_back("peer_messages_" + Suffix, Counts[Kind].Messages_);
     Result.emplace_back("peer_bytes_" + Suffix, Counts[Kind].Bytes_);
   }
--- a/src/packet-process.cc
+++ b/src/packet-process.cc
@@ -27,8 +27,8 @@
 }
 
 bool isSeed(const PacketSettings &S) {
-  return std::find(S.Seeds_.begin(), S.Seeds_.end(), S.AdvertisedControlAddress_) !=
-         S.Seeds_.end();
+  return std::find(S.Seeds_.begin(), S.Seeds_.end(),
+                   S.AdvertisedControlAddress_) != S.Seeds_.end();
 }
 
 const char *nameOf(DelayClass Class) {
@@ -56,11 +56,11 @@
 PacketProcess::Impl::Impl(asio::io_context &Context,
                           const PacketSettings &Configured,
                           std::string SettingsPath, PlatformHooks Hooks)
-    : Context_(Context), Settings_(Configured), SettingsWatch_(std::move(SettingsPath)),
-      Hooks_(std::move(Hooks)),
+    : Context_(Context), Settings_(Configured),
+      SettingsWatch_(std::move(SettingsPath)), Hooks_(std::move(Hooks)),
       PacketSocket_(Context, Settings_.PacketAddress_,
-               [this](const Endpoint &, const std::uint8_t *Data,
-                      std::size_t Size) { onPacket(Data, Size); }),
+                    [this](const Endpoint &, const std::uint8_t *Data,
+                           std::size_t Size) { onPacket(Data, Size); }),
       Core_(makeCore(
           Settings_,
           [this](ServiceId S, DelayClass C, Micros Delay) {
@@ -74,8 +74,10 @@
                        std::size_t Size) { retryOpening(Now, Data, Size); }),
       Checker_(Context, checkerHooks()),
       ConfigReader_(randomJitter(), isSeed(Settings_)),
-      ConfigClient_(Hooks_.MakeConfigClient_(Context, Settings_.ConfigServiceAddress_)),
-      Links_(Context, Settings_.ControlAddress_, MaxGossipMessageBytes, linkHooks()),
+      ConfigClient_(
+          Hooks_.MakeConfigClient_(Context, Settings_.ConfigServiceAddress_)),
+      Links_(Context, Settings_.ControlAddress_, MaxGossipMessageBytes,
+             linkHooks()),
       Gossip_(gossipOptions(Settings_), gossipHooks()),
       ReadinessServer_(
           Context, Settings_.ReadinessAddress_,
@@ -132,14 +134,14 @@
 }
 
 void PacketProcess::Impl::execute(const Forward &F, const std::uint8_t *Data,
-                              std::size_t Size) {
+                                  std::size_t Size) {
   std::uint8_t Buffer[MaxPacketBytes];
   std::size_t Length = Hooks_.EncodeForward_(F, Data, Size, Buffer);
   PacketSocket_.send(F.To_, Buffer, Length);
 }
 
 void PacketProcess::Impl::execute(const ResetFlow &R, const std::uint8_t *,
-                              std::size_t) {
+                                  std::size_t) {
   sendReset(R);
 }
 
@@ -154,7 +156,7 @@
 }
 
 void PacketProcess::Impl::execute(const Dropped &, const std::uint8_t *,
-                              std::size_t) {}
+                                  std::size_t) {}
 
 void PacketProcess::Impl::runDueWork() {
   MonoTime Now = monoNow();
--- a/src/peer-traffic.h
+++ b/src/peer-traffic.h
@@ -27,8 +27,12 @@
   void received(const GossipMessage &M, std::size_t Bytes) {
     add(Received_[M.index()], Bytes);
   }
-  const std::array<TrafficCount, KindCount> &sentByKind() const { return Sent_; }
-  const std::array<TrafficCount, KindCount> &receivedByKind() const { return Received_; }
+  const std::array<TrafficCount, KindCount> &sentByKind() const {
+    return Sent_;
+  }
+  const std::array<TrafficCount, KindCount> &receivedByKind() const {
+    return Received_;
+  }
 
 private:
   static void add(TrafficCount &To, std::size_t Bytes) {
--- a/src/udp-socket.cc
+++ b/src/udp-socket.cc
@@ -38,7 +38,8 @@
   asio::error_code Ignored;
   Socket_.set_option(asio::socket_base::receive_buffer_size(SocketBufferBytes),
                      Ignored);
-  Socket_.set_option(asio::socket_base::send_buffer_size(SocketBufferBytes), Ignored);
+  Socket_.set_option(asio::socket_base::send_buffer_size(SocketBufferBytes),
+                     Ignored);
   Socket_.non_blocking(true);
   waitReadable();
 }
@@ -74,7 +75,9 @@
   Socket_.send_to(asio::buffer(Data, Size), toAsio(To), 0, Ignored);
 }
 
-Endpoint UdpSocket::localEndpoint() const { return fromAsio(Socket_.local_endpoint()); }
+Endpoint UdpSocket::localEndpoint() const {
+  return fromAsio(Socket_.local_endpoint());
+}
 
 void UdpSocket::close() {
   asio::error_code Ignored;
--- a/src/upstream-checker.cc
+++ b/src/upstream-checker.cc
@@ -23,7 +23,8 @@
   Check(asio::io_context &Context, const UpstreamCheck &Request,
         std::shared_ptr<const CheckerHooks> Hooks)
       : Socket_(Context), Timer_(Context), Request_(Request),
-        Hooks_(std::move(Hooks)), StartedAt_(std::chrono::steady_clock::now()) {}
+        Hooks_(std::move(Hooks)), StartedAt_(std::chrono::steady_clock::now()) {
+  }
 
   void attempt() {
     ++Attempt_;
--- a/test/log-test.cc
+++ b/test/log-test.cc
@@ -42,7 +42,8 @@
   CHECK(Allowed <= 10 * LogRateLimiter::LinesPerSecond);
 }
 
-TEST_CASE("the service log reports only state changes of the configuration service") {
+TEST_CASE(
+    "the service log reports only state changes of the configuration service") {
   std::vector<std::string> Events;
   detail::ConfigServiceLog Log([&](std::string_view Event, const LogFields &) {
     Events.emplace_back(Event);
--- a/test/published-test.cc
+++ b/test/published-test.cc
@@ -51,12 +51,13 @@
 } // namespace
 
 TEST_CASE("decodes a page of items") {
-  StoreResponse Response = decodeResponse({{"items",
-                           {makeItem("op/config", routingDocument(), 12),
-                            makeItem("servers/i-7f3a91c2", upstreamValue(), 14),
-                            makeItem("other/key", "x", 15)}},
-                          {"has-more", true},
-                          {"store-revision", 15}});
+  StoreResponse Response =
+      decodeResponse({{"items",
+                       {makeItem("op/config", routingDocument(), 12),
+                        makeItem("servers/i-7f3a91c2", upstreamValue(), 14),
+                        makeItem("other/key", "x", 15)}},
+                      {"has-more", true},
+                      {"store-revision", 15}});
   CHECK(Response.HasMore_);
   CHECK(Response.StoreRevision_ == 15);
   CHECK(Response.LastKey_ == "other/key");
@@ -73,9 +74,10 @@
 }
 
 TEST_CASE("decodes the routing table") {
-  StoreResponse Response = decodeResponse({{"items", {makeItem("op/config", routingDocument(), 12)}},
-                          {"has-more", false},
-                          {"store-revision", 15}});
+  StoreResponse Response =
+      decodeResponse({{"items", {makeItem("op/config", routingDocument(), 12)}},
+                      {"has-more", false},
+                      {"store-revision", 15}});
   REQUIRE(Response.Routing_);
   CHECK(Response.Routing_->Version_ == 7);
   CHECK(Response.Routing_->IdleTimeout_ == std::chrono::seconds(15));
@@ -128,11 +130,12 @@
       Invalid.erase(Field);
     else
       Invalid[Field] = *invalidValue(Field);
-    StoreResponse Response = decodeResponse(
-        {{"events",
-          {makeItem("servers/i-1", upstreamValue(), 1), makeItem("servers/i-2", Invalid, 2),
-           makeItem("servers/i-3", upstreamValue(), 3)}},
-         {"store-revision", 3}});
+    StoreResponse Response =
+        decodeResponse({{"events",
+                         {makeItem("servers/i-1", upstreamValue(), 1),
+                          makeItem("servers/i-2", Invalid, 2),
+                          makeItem("servers/i-3", upstreamValue(), 3)}},
+                        {"store-revision", 3}});
     RC_ASSERT(Response.Changes_.size() == 3U);
     RC_ASSERT(Response.Changes_[0].Entry_.has_value());
     RC_ASSERT(!Response.Changes_[1].Entry_.has_value());
@@ -148,8 +151,9 @@
        {"\"1772424720123\"", "1.5", "-4", "null", "[1]", "9999999999999999"}) {
     Json Invalid = upstreamValue();
     Invalid["born"] = Json::parse(Born);
-    StoreResponse Response = decodeResponse(
-        {{"items", {makeItem("servers/i-2", Invalid, 2)}}, {"store-revision", 3}});
+    StoreResponse Response =
+        decodeResponse({{"items", {makeItem("servers/i-2", Invalid, 2)}},
+                        {"store-revision", 3}});
     CAPTURE(Born);
     CHECK_FALSE(Response.Changes_.at(0).Entry_);
   }
@@ -159,16 +163,17 @@
         std::string(1 << 20, '['), std::string(1 << 20, 'x')}) {
     Json Item = makeItem("servers/i-2", Json::object(), 2);
     Item["val"] = base64(Value);
-    StoreResponse Response =
-        decodeResponse({{"events", {Item, makeItem("servers/i-3", upstreamValue(), 3)}},
-                {"store-revision", 3}});
+    StoreResponse Response = decodeResponse(
+        {{"events", {Item, makeItem("servers/i-3", upstreamValue(), 3)}},
+         {"store-revision", 3}});
     REQUIRE(Response.Changes_.size() == 2);
     CHECK_FALSE(Response.Changes_[0].Entry_);
     CHECK(Response.Changes_[1].Entry_);
   }
 }
 
-TEST_CASE("an item without a valid key, revision or value does not affect others") {
+TEST_CASE(
+    "an item without a valid key, revision or value does not affect others") {
   Json NoKey = makeItem("servers/i-1", upstreamValue(), 1);
   NoKey["key-file"] = 5;
   Json NoRevision = makeItem("servers/i-2", upstreamValue(), 2);
@@ -176,10 +181,11 @@
   Json NoValue = makeItem("servers/i-3", upstreamValue(), 3);
   NoValue["val"] = Json::array();
   Json NoObject = 17;
-  StoreResponse Response = decodeResponse({{"items",
-                           {NoKey, NoRevision, NoValue, NoObject,
-                            makeItem("servers/i-4", upstreamValue(), 4)}},
-                          {"store-revision", 4}});
+  StoreResponse Response =
+      decodeResponse({{"items",
+                       {NoKey, NoRevision, NoValue, NoObject,
+                        makeItem("servers/i-4", upstreamValue(), 4)}},
+                      {"store-revision", 4}});
   CHECK(Response.RefusedItems_.size() == 4);
   REQUIRE(Response.Changes_.size() == 2);
   CHECK_FALSE(Response.Changes_[0].Entry_);
@@ -190,7 +196,8 @@
   Json Gone = {
       {"key-file", "servers/i-ab"}, {"revision", 413}, {"is-gone", true}};
   StoreResponse Response = decodeResponse(
-      {{"events", {makeItem("servers/i-cd", upstreamValue("draining"), 412), Gone}},
+      {{"events",
+        {makeItem("servers/i-cd", upstreamValue("draining"), 412), Gone}},
        {"store-revision", 413}});
   REQUIRE(Response.Changes_.size() == 2);
   CHECK(Response.Changes_[0].Entry_->Draining_);
@@ -205,19 +212,22 @@
   BadConfiguration["routes"][0]["path-prefix"] = "8443";
   Json NotBase64 = makeItem("servers/i-4", upstreamValue(), 4);
   NotBase64["val"] = "***";
-  StoreResponse Response = decodeResponse({{"items",
-                           {makeItem("servers/i-1", NoAddress, 1),
-                            makeItem("servers/i-xyz", upstreamValue(), 2),
-                            makeItem("op/config", BadConfiguration, 3), NotBase64,
-                            makeItem("servers/i-5", upstreamValue(), 5)}},
-                          {"store-revision", 5}});
+  StoreResponse Response =
+      decodeResponse({{"items",
+                       {makeItem("servers/i-1", NoAddress, 1),
+                        makeItem("servers/i-xyz", upstreamValue(), 2),
+                        makeItem("op/config", BadConfiguration, 3), NotBase64,
+                        makeItem("servers/i-5", upstreamValue(), 5)}},
+                      {"store-revision", 5}});
   CHECK(Response.RefusedItems_.size() == 4);
   CHECK(Response.RefusedItems_[0].find("servers/i-1: ") == 0);
   CHECK_FALSE(Response.Routing_);
   // Invalid entries with a valid key become changes without an entry.
   REQUIRE(Response.Changes_.size() == 3);
-  CHECK(Response.Changes_[0] == UpstreamChange{Incarnation{1}, 1, std::nullopt});
-  CHECK(Response.Changes_[1] == UpstreamChange{Incarnation{4}, 4, std::nullopt});
+  CHECK(Response.Changes_[0] ==
+        UpstreamChange{Incarnation{1}, 1, std::nullopt});
+  CHECK(Response.Changes_[1] ==
+        UpstreamChange{Incarnation{4}, 4, std::nullopt});
   CHECK(Response.Changes_[2].Incarnation_ == Incarnation{5});
   CHECK(Response.Changes_[2].Entry_);
 }
@@ -226,18 +236,20 @@
   Json Document = routingDocument();
   Document["backends"][0]["warmup-per-s"] = 2.5;
   Document["backends"][1]["warmup-per-s"] = 0.0;
-  StoreResponse Response = decodeResponse(
-      {{"items", {makeItem("op/config", Document, 12)}}, {"store-revision", 15}});
+  StoreResponse Response =
+      decodeResponse({{"items", {makeItem("op/config", Document, 12)}},
+                      {"store-revision", 15}});
   REQUIRE(Response.Routing_);
   CHECK(Response.Routing_->coldFlowsPerSecond(
             static_cast<ServiceId>(nameId("index"))) == 2.5);
   CHECK(Response.Routing_->ColdFlowsPerSecond_.size() == 1);
   Document["backends"][0]["warmup-per-s"] = -1;
-  Response = decodeResponse(
-      {{"items", {makeItem("op/config", Document, 12)}}, {"store-revision", 15}});
+  Response = decodeResponse({{"items", {makeItem("op/config", Document, 12)}},
+                             {"store-revision", 15}});
   CHECK_FALSE(Response.Routing_);
   REQUIRE(Response.RefusedItems_.size() == 1);
-  CHECK(Response.RefusedItems_[0] == "op/config: service 'index' has a negative limit for cold upstreams");
+  CHECK(Response.RefusedItems_[0] ==
+        "op/config: service 'index' has a negative limit for cold upstreams");
 }
 
 TEST_CASE("decodes evacuated data halls") {
@@ -247,10 +259,11 @@
   Json Unnamed = makeItem("op/evacuate/", Json::object(), 24);
   Json NoRevision = makeItem("op/evacuate/ams-hall-c", Json::object(), 25);
   NoRevision.erase("revision");
-  StoreResponse Response = decodeResponse({{"events",
-                           {makeItem("op/evacuate/ams-hall-a", Json::object(), 22),
-                            Gone, Unnamed, NoRevision}},
-                          {"store-revision", 25}});
+  StoreResponse Response =
+      decodeResponse({{"events",
+                       {makeItem("op/evacuate/ams-hall-a", Json::object(), 22),
+                        Gone, Unnamed, NoRevision}},
+                      {"store-revision", 25}});
   CHECK(Response.Evacuations_ ==
         std::vector<EvacuationChange>{{"ams-hall-a", 22, true},
                                       {"ams-hall-b", 23, false}});
