--- /dev/null
+++ b/include/thymewall/gossip.h
@@ -0,0 +1,183 @@
+/// \file
+/// Gossip of the published state among packet balancers, and the choice of the
+/// balancer that reads the configuration service. Normally one reader serves
+/// the whole fleet: its state spreads together with its age, and a balancer
+/// whose state becomes too old reads for itself, those with the lowest reader
+/// score first. There is no election: a reader that fails, is suspended,
+/// partitioned or refused is replaced because its state ages.
+///
+/// Does no I/O: links are numbers that the caller assigns to its connections.
+#ifndef THYMEWALL_GOSSIP_H
+#define THYMEWALL_GOSSIP_H
+
+#include "thymewall/cold-admission.h"
+#include "thymewall/config-reader.h"
+#include "thymewall/gossip-message.h"
+
+#include <functional>
+#include <map>
+#include <memory>
+
+namespace thymewall {
+
+enum class LinkId : std::uint64_t {};
+
+/// Callbacks for outgoing messages, connections and changes of state.
+struct GossipHooks {
+  std::function<void(LinkId, const GossipMessage &)> Send_;
+  std::function<void(const Endpoint &Control)> Connect_;
+  std::function<void(LinkId)> Close_;
+  /// A newer routing table has arrived.
+  std::function<void(const RoutingTablePtr &)> OnRouting_;
+  /// Upstreams have changed. \p MayReturn is set after an outage of the
+  /// configuration service: upstreams missing from the list may come back.
+  std::function<void(const std::vector<UpstreamChange> &, bool MayReturn)>
+      OnUpstreams_;
+  /// Evacuations of data halls have changed.
+  std::function<void(const std::vector<EvacuationChange> &)> OnEvacuations_;
+  /// The state is complete as of \p AsOf.
+  std::function<void(MonoTime AsOf)> OnConfirmed_;
+  /// A peer has sent a warning about an upstream.
+  std::function<void(const UpstreamWarning &)> OnWarning_;
+  /// A peer started or resumed \p At. Optional.
+  std::function<void(MonoTime At)> OnPeerJoined_;
+};
+
+struct GossipOptions {
+  Member Self_;
+  std::vector<Endpoint> Seeds_;
+};
+
+struct GossipCounters {
+  std::uint64_t HeartbeatsSent_ = 0;
+  std::uint64_t UpdatesSent_ = 0;
+  std::uint64_t UpdatesReceived_ = 0;
+  std::uint64_t RevisionGaps_ = 0;
+  std::uint64_t StaleConfirmations_ = 0;
+  std::uint64_t WarningsSent_ = 0; ///< Counted once per link.
+  std::size_t Links_ = 0;
+  std::size_t Members_ = 0;
+};
+
+/// Status of a member for the operators' pages.
+struct MemberStatus {
+  Member Peer_;
+  bool Linked_ = false;
+};
+
+class GossipNode {
+public:
+  /// Links that a balancer opens. Together with inbound links it has about
+  /// twice as many, which keeps a fleet connected when a third of it is lost.
+  static constexpr std::size_t OutboundLinks = 3;
+  static constexpr Micros HeartbeatInterval = std::chrono::milliseconds(1000);
+  /// A confirmation that is more recent by at least this is sent at once.
+  static constexpr Micros ConfirmationStep = std::chrono::milliseconds(200);
+  /// A link without messages for longer is closed.
+  static constexpr Micros LinkTimeout = std::chrono::milliseconds(2500);
+  /// A peer's confirmation counts only if it echoes a heartbeat that was sent
+  /// at most this long ago. Bounds how much a delayed message can understate
+  /// the age of its state.
+  static constexpr Micros MaxEchoAge = std::chrono::milliseconds(1200);
+  /// State older than this lets the next balancer read; longer than the
+  /// interval between two confirmations of a reader. Each further rank waits
+  /// one more step. In a large fleet the steps aren't bounded, as all balancers
+  /// beyond the bound would read at once.
+  static constexpr Micros TakeoverAge = std::chrono::milliseconds(1500);
+  static constexpr Micros TakeoverStep = std::chrono::milliseconds(100);
+  /// Minimum advance of the first live balancer's last sign of life that is
+  /// forwarded at once: shorter than a heartbeat interval, longer than the
+  /// interval of confirmations.
+  static constexpr Micros AliveUpdateStep = std::chrono::milliseconds(800);
+  /// Upper bound on steps in a fleet where each balancer tracks all members.
+  static constexpr std::size_t MaxTakeoverSteps = 8;
+  /// Range over which the members of a network partition spread their first
+  /// reads when the balancer of rank 0 is on the other side.
+  static constexpr Micros PartitionJitter = std::chrono::milliseconds(800);
+  /// Delay per rank of the first read after a start, so that few balancers of a
+  /// fleet that starts at once read before the first shares its state.
+  static constexpr Micros StartupReadStep = std::chrono::milliseconds(10);
+  /// Pause after a balancer's first read: time for links to open and for peers
+  /// to report the current reader, which confirms once per
+  /// `ConfigReader::WatchTimeout`.
+  static constexpr Micros FirstReadPause = std::chrono::milliseconds(700);
+  /// State older than this means that the configuration service had an outage.
+  static constexpr Micros OutageAge = std::chrono::milliseconds(2500);
+  /// Delay before reconnecting to a peer that was lost or unreachable; a peer
+  /// that is back opens links itself.
+  static constexpr Micros ReconnectDelay = std::chrono::milliseconds(2000);
+  /// Deadline for an answer to a state request; another peer is asked after it.
+  static constexpr Micros RequestTimeout = std::chrono::milliseconds(300);
+
+  /// A peer with a shorter uptime has just joined.
+  static constexpr Micros RecentStartAge = std::chrono::milliseconds(3000);
+  /// A process without a tick for this long was suspended.
+  static constexpr Micros SuspendThreshold = std::chrono::milliseconds(1250);
+
+  /// Inbound links that are kept open. Further peers receive members to connect
+  /// to and are disconnected; otherwise a seed would hold a link to every
+  /// balancer of a fleet that starts.
+  static constexpr std::size_t MaxInboundLinks = 32;
+  /// Approximate number of upstreams that a starting balancer requests from one
+  /// peer at a time. Bounds the size of the response.
+  static constexpr std::size_t UpstreamsPerRequest = 768;
+
+  /// A warning is forwarded at most once in this interval.
+  static constexpr Micros WarningInterval = std::chrono::milliseconds(1000);
+  /// Maximum number of warnings of each kind that are sent in an interval.
+  /// Bounds the traffic when a whole data hall is lost. Kinds are counted apart
+  /// so that stalls don't crowd out dead upstreams.
+  static constexpr std::size_t MaxWarningsPerInterval = 128;
+
+  GossipNode(GossipOptions Options, GossipHooks Hooks);
+  ~GossipNode();
+
+  void opened(MonoTime Now, LinkId Link, bool Outbound);
+  void closed(MonoTime Now, LinkId Link);
+  /// Records that an attempt to connect to \p Control has failed.
+  void connectFailed(MonoTime Now, const Endpoint &Control);
+  void received(MonoTime Now, LinkId Link, const GossipMessage &M);
+  /// The configuration service has answered with a state that was complete at
+  /// \p AsOf. Returns false if changes are missing and the full list must be
+  /// read.
+  bool readSucceeded(MonoTime Now, const ConfigResponse &Response,
+                     MonoTime AsOf);
+  /// A stale list was read. It suffices to serve callers, but doesn't make the
+  /// state current.
+  void staleListRead(MonoTime Now, const ConfigResponse &Response);
+  /// A call of the configuration service failed; another balancer may take
+  /// over.
+  void readFailed();
+  /// Records that this balancer has begun to read the full list for the fleet.
+  void listReadStarted(MonoTime Now);
+  /// Sends a warning about an upstream to the fleet.
+  void warn(MonoTime Now, const UpstreamWarning &M);
+  void setLeaving(MonoTime Now);
+  void setSeeds(std::vector<Endpoint> Seeds);
+  void tick(MonoTime Now);
+
+  /// Returns when this balancer should next read the configuration service.
+  MonoTime nextReadAt() const;
+  /// Returns the revision up to which all changes are known.
+  Revision through() const;
+  MonoTime confirmedAsOf() const;
+  /// Returns the estimated number of balancers, at least 1 (this one).
+  std::size_t fleetSize() const;
+  FleetView fleetView(MonoTime Now) const;
+  /// Whether most of this balancer's data hall is dead while another data hall
+  /// is healthy. The fabric keeps using all hosts of a data hall, dead ones
+  /// included, if fewer than half of them respond, but none if no host
+  /// responds: the live ones should then report not ready. Always false in a
+  /// fleet too large for each balancer to track all members.
+  bool isDataHallLost(MonoTime Now) const;
+  GossipCounters counters() const;
+  std::vector<MemberStatus> peers() const;
+
+private:
+  class Impl;
+  std::unique_ptr<Impl> Impl_;
+};
+
+} // namespace thymewall
+
+#endif
--- a/include/thymewall/unanswered-openings.h
+++ b/include/thymewall/unanswered-openings.h
@@ -1,6 +1,7 @@
 /// \file
-/// Opening packets that were sent to an upstream a moment ago. One that stays
-/// unanswered is sent to another upstream, long before its caller sends a copy.
+/// Opening packets that await an answer from their upstream. After a timeout
+/// that is shorter than the caller's retransmission timeout they can be sent to
+/// another upstream.
 #ifndef THYMEWALL_UNANSWERED_OPENINGS_H
 #define THYMEWALL_UNANSWERED_OPENINGS_H
 
@@ -12,43 +13,49 @@
 
 namespace thymewall {
 
+/// Queue of recently forwarded opening packets with their deadlines.
 class UnansweredOpenings {
 public:
-  /// The caller's acknowledgement takes 5 to 12 ms (3 ms to callers, 2 ms
-  /// between data halls), on a host five times slower about 20 ms.
-  static constexpr Micros AnswerWithin = std::chrono::milliseconds(40);
-  /// Less would be no gain over the caller's own copy.
-  static constexpr Micros LongestWait = std::chrono::milliseconds(160);
-  /// The caller sends a copy itself after this long.
-  static constexpr Micros CopyAfter = std::chrono::milliseconds(200);
-  /// A review this late means that this process did not run, so that answers
-  /// may wait in its socket.
-  static constexpr Micros LateBy = std::chrono::milliseconds(20);
-  /// Far more than an entry host opens in `AnswerWithin`.
-  static constexpr std::size_t Bound = 1024;
-
-  using Taker = std::function<void(const std::uint8_t *Data, std::size_t Size)>;
-
-  /// How long the next openings may stay unanswered.
-  void setWait(Micros Wait) { Wait_ = Wait; }
-  /// Keeps a copy of a packet that opens a flow; when there are too many, none.
+  /// Lower bound of the timeout, used until delays are measured. Well above the
+  /// usual delay of the caller's acknowledgement.
+  static constexpr Micros MinTimeout = std::chrono::milliseconds(40);
+  /// Upper bound of the timeout. A longer one would gain too little over the
+  /// caller's retransmission.
+  static constexpr Micros MaxTimeout = std::chrono::milliseconds(160);
+  /// The caller's retransmission timeout for an opening packet.
+  static constexpr Micros CallerRetransmitAfter =
+      std::chrono::milliseconds(200);
+  /// A call of `takeExpired` this late means that the process was suspended;
+  /// answers may still be queued in its socket.
+  static constexpr Micros LateThreshold = std::chrono::milliseconds(20);
+  /// Bounds the memory use; far more openings than await an answer at a time.
+  static constexpr std::size_t MaxPackets = 1024;
+
+  using ExpiryHandler =
+      std::function<void(const std::uint8_t *Data, std::size_t Size)>;
+
+  /// Sets the timeout of packets that are added from now on.
+  void setTimeout(Micros Timeout) { Timeout_ = Timeout; }
+  /// Stores a copy of an opening packet. Ignores it if the queue is full.
   void add(MonoTime Now, const std::uint8_t *Data, std::size_t Size);
-  /// When `takeDue` should be called; the far future when nothing waits.
-  MonoTime dueAt() const;
-  /// Gives \p Take every packet whose time for an answer is over, and forgets
-  /// it. After a late review all get that time once more.
-  void takeDue(MonoTime Now, const Taker &Take);
+  /// Returns the time for the next call of `takeExpired`, or `MonoTime::max()`
+  /// if the queue is empty.
+  MonoTime nextDeadline() const;
+  /// Removes every packet whose deadline has passed and passes it to
+  /// \p OnExpired. A late call extends all deadlines by the timeout instead and
+  /// drops packets that their callers retransmit before the new deadline.
+  void takeExpired(MonoTime Now, const ExpiryHandler &OnExpired);
 
 private:
-  struct Waiting {
-    MonoTime AnswerBy_;
-    MonoTime CopyAt_;
+  struct PendingOpening {
+    MonoTime Deadline_;
+    MonoTime RetransmitAt_;
     std::vector<std::uint8_t> Bytes_;
   };
-  void postpone(MonoTime Now);
+  void extendDeadlines(MonoTime Now);
 
-  std::deque<Waiting> Packets_;
-  Micros Wait_ = AnswerWithin;
+  std::deque<PendingOpening> Packets_;
+  Micros Timeout_ = MinTimeout;
 };
 
 } // namespace thymewall
--- a/src/balancer.cc
+++ b/src/balancer.cc
@@ -5,7 +5,7 @@
 
 namespace thymewall {
 
-using detail::has;
+using detail::isEnabled;
 using detail::Mechanism;
 
 namespace {
@@ -14,49 +14,52 @@
 
 constexpr Micros RequestTickLength = 5ms;
 constexpr Micros FlowTickLength = 1s;
-/// A woken process that no source answers goes on with its old intent then.
-constexpr Micros TrustOldIntentAfter = 3s;
-constexpr Micros PeerFreshFor = 5s;
+/// After a suspension, how long to wait for a source before continuing with the
+/// old declaration.
+constexpr Micros RefreshTimeout = 3s;
+constexpr Micros PeerTimeout = 5s;
 constexpr std::size_t MaxSuccessions = 4096;
 
 } // namespace
 
 Balancer::Impl::Impl(BalancerOptions Options)
     : Options_(std::move(Options)), Random_(Options_.Seed_),
-      Flows_(Options_.FlowBound_), Requests_(Options_.RequestBound_),
-      Passes_(Options_.PassBound_) {}
+      Flows_(Options_.MaxFlows_), Requests_(Options_.MaxRequests_),
+      Forwards_(Options_.MaxForwards_) {}
 
 void Balancer::Impl::handle(const Moment &Now, const Event &What,
                             const ActionSink &Sink) {
   if (Started_ == MonoTime{}) {
     Started_ = Now.Mono_;
-    NextTickBy_ = Now.Mono_ + TickEvery;
+    NextTickDue_ = Now.Mono_ + TickInterval;
   }
   Now_ = Now;
   Sink_ = &Sink;
-  noticeLateWake();
+  detectLateWake();
   std::visit([this](const auto &E) { on(E); }, What);
   Sink_ = nullptr;
 }
 
-/// Every event checks the clock, because the first one after a pause may be a
-/// datagram that has waited in a socket since before it.
-void Balancer::Impl::noticeLateWake() {
-  if (Now_.Mono_ < NextTickBy_ + LateAfter || !has(Mechanism::LateWake))
+/// Detects a suspension of the process. Called for every event, because the
+/// first one after a suspension may be a datagram queued in a socket.
+void Balancer::Impl::detectLateWake() {
+  if (Now_.Mono_ < NextTickDue_ + LateTickThreshold ||
+      !isEnabled(Mechanism::LateWake))
     return;
-  NextTickBy_ = Now_.Mono_ + TickEvery;
+  NextTickDue_ = Now_.Mono_ + TickInterval;
   ++Counters_.LateWakes_;
-  Fresh_ = false;
-  TrustOldIntentAt_ = Now_.Mono_ + TrustOldIntentAfter;
-  Upstreams_.forgetBeliefs();
+  DeclarationFresh_ = false;
+  RefreshDeadline_ = Now_.Mono_ + RefreshTimeout;
+  Upstreams_.resetHealth();
   Peers_.clear();
   SuspectHomes_.clear();
   NextSelectAt_ = {};
-  (*Sink_)(RereadSources{++Asked_});
+  (*Sink_)(RefreshDocuments{++RefreshId_});
 }
 
 bool Balancer::Impl::ready() const {
-  return Declaration_ != nullptr && (Fresh_ || Now_.Mono_ >= TrustOldIntentAt_);
+  return Declaration_ != nullptr &&
+         (DeclarationFresh_ || Now_.Mono_ >= RefreshDeadline_);
 }
 
 ServiceState *Balancer::Impl::serviceState(ServiceId Id) {
@@ -79,19 +82,19 @@
   return requestTick(Now_.Mono_ + Left) + 1;
 }
 
-/// A number from 0 to 1.
-double Balancer::Impl::draw() {
+/// Returns a random number from 0 to 1.
+double Balancer::Impl::randomFraction() {
   return std::generate_canonical<double, 32>(Random_);
 }
 
 std::uint64_t Balancer::Impl::nextAttempt() {
-  return hashPair(raw(Options_.Incarnation_), ++Attempts_);
+  return hashPair(raw(Options_.Incarnation_), ++LastAttempt_);
 }
 
 void Balancer::Impl::on(const DeclarationRead &E) {
-  Fresh_ = Fresh_ || E.Asked_ == Asked_;
+  DeclarationFresh_ = DeclarationFresh_ || E.RefreshId_ == RefreshId_;
   bool Newer = !Declaration_ || supersedes(*E.Declaration_, *Declaration_);
-  if (!Newer && has(Mechanism::Monotonic))
+  if (!Newer && isEnabled(Mechanism::MonotonicVersions))
     return;
   Declaration_ = E.Declaration_;
   Upstreams_.declare(*Declaration_, Now_.Mono_);
@@ -99,18 +102,18 @@
   Old.swap(Services_);
   for (const Service &S : Declaration_->Services_) {
     Services_.push_back({S, {}, 0, {}, 0});
-    LongestDeadlineSeen_ = std::max(LongestDeadlineSeen_, S.DeadlineAfter_);
-    for (const ServiceState &Before : Old)
-      if (Before.Service_.Id_ == S.Id_)
-        Services_.back().RetryTokens_ = Before.RetryTokens_;
+    MaxServiceDeadline_ = std::max(MaxServiceDeadline_, S.DefaultTimeout_);
+    for (const ServiceState &Previous : Old)
+      if (Previous.Service_.Id_ == S.Id_)
+        Services_.back().RetryTokens_ = Previous.RetryTokens_;
   }
   applyHostList();
-  select();
-  (*Sink_)(InForce{Declaration_});
+  selectUpstreams();
+  (*Sink_)(DeclarationApplied{Declaration_});
 }
 
-void Balancer::Impl::on(const SourceConfirmed &E) {
-  Fresh_ = Fresh_ || E.Asked_ == Asked_;
+void Balancer::Impl::on(const DeclarationUnchanged &E) {
+  DeclarationFresh_ = DeclarationFresh_ || E.RefreshId_ == RefreshId_;
 }
 
 void Balancer::Impl::on(const HostListRead &E) {
@@ -129,22 +132,24 @@
                             H.Leaving_);
 }
 
-void Balancer::Impl::on(const PeerSeen &E) {
-  Peer Seen{E.Id_, E.Data_, E.Incarnation_, E.Leaving_,
-            Now_.Mono_ + PeerFreshFor};
-  auto Same = [&](const SuspectHome &S) { return S.Home_ == E.Incarnation_; };
+void Balancer::Impl::on(const HeartbeatReceived &E) {
+  Peer Updated{E.Id_, E.Data_, E.Incarnation_, E.Leaving_,
+               Now_.Mono_ + PeerTimeout};
+  auto IsSameHome = [&](const SuspectHome &S) {
+    return S.Home_ == E.Incarnation_;
+  };
   SuspectHomes_.erase(
-      std::remove_if(SuspectHomes_.begin(), SuspectHomes_.end(), Same),
+      std::remove_if(SuspectHomes_.begin(), SuspectHomes_.end(), IsSameHome),
       SuspectHomes_.end());
   for (Peer &P : Peers_)
     if (P.Id_ == E.Id_) {
-      P = Seen;
+      P = Updated;
       return;
     }
-  Peers_.push_back(Seen);
+  Peers_.push_back(Updated);
 }
 
-void Balancer::Impl::on(const SuccessionRead &E) {
+void Balancer::Impl::on(const SuccessionReceived &E) {
   if (E.Succession_.Successors_.empty())
     return;
   for (const Succession &S : Successions_)
@@ -155,8 +160,8 @@
   Successions_.push_back(E.Succession_);
 }
 
-/// Works out which upstreams each service has at this minute.
-void Balancer::Impl::select() {
+/// Evaluates the selectors of each service for the current minute.
+void Balancer::Impl::selectUpstreams() {
   constexpr Micros Minute = 60s;
   NextSelectAt_ =
       WallTime((Now_.Wall_.time_since_epoch() / Minute + 1) * Minute);
@@ -164,82 +169,83 @@
     ServiceState &S = Services_[I];
     S.Selected_.clear();
     S.Generation_ = 0;
-    for (std::size_t Index : eligible(*Declaration_, Declaration_->Services_[I],
-                                      Options_.Zones_, Now_.Wall_))
+    for (std::size_t Index :
+         selectedUpstreams(*Declaration_, Declaration_->Services_[I],
+                           Options_.Zones_, Now_.Wall_))
       S.Selected_.push_back(
-          Upstreams_.byId(Declaration_->Upstreams_[Index].Id_));
+          Upstreams_.findById(Declaration_->Upstreams_[Index].Id_));
   }
 }
 
 void Balancer::Impl::on(const Tick &) {
-  NextTickBy_ = Now_.Mono_ + TickEvery;
-  bool MinuteOver =
+  NextTickDue_ = Now_.Mono_ + TickInterval;
+  bool SelectionExpired =
       Now_.Wall_ >= NextSelectAt_ || Now_.Wall_ + 2min < NextSelectAt_;
-  if (Declaration_ && MinuteOver)
-    select();
-  reviewPeers();
-  Upstreams_.review(Now_.Mono_);
-  expirePasses();
+  if (Declaration_ && SelectionExpired)
+    selectUpstreams();
+  expirePeers();
+  Upstreams_.expireEjections(Now_.Mono_);
+  expireForwards();
   expireRequests();
   expireFlows();
   if (Stopping_)
     checkStopped();
 }
 
-/// A peer whose heartbeats end is suspected from then on; suspicion ends by
-/// time or with a heartbeat.
-void Balancer::Impl::reviewPeers() {
-  auto Over = [this](const SuspectHome &S) { return S.Until_ < Now_.Mono_; };
+/// Removes peers without recent heartbeats and marks them as suspect homes
+/// until `SuspicionTimeout` or their next heartbeat.
+void Balancer::Impl::expirePeers() {
+  auto Expired = [this](const SuspectHome &S) { return S.Until_ < Now_.Mono_; };
   SuspectHomes_.erase(
-      std::remove_if(SuspectHomes_.begin(), SuspectHomes_.end(), Over),
+      std::remove_if(SuspectHomes_.begin(), SuspectHomes_.end(), Expired),
       SuspectHomes_.end());
-  auto Silent = [this](const Peer &P) { return P.FreshUntil_ < Now_.Mono_; };
+  auto TimedOut = [this](const Peer &P) { return P.ExpiresAt_ < Now_.Mono_; };
   for (const Peer &P : Peers_)
-    if (Silent(P))
-      suspect(P.Incarnation_);
-  Peers_.erase(std::remove_if(Peers_.begin(), Peers_.end(), Silent),
+    if (TimedOut(P))
+      markSuspect(P.Incarnation_);
+  Peers_.erase(std::remove_if(Peers_.begin(), Peers_.end(), TimedOut),
                Peers_.end());
 }
 
-/// A request without its final answer at its deadline is given up; an open is
-/// tried at another upstream first.
+/// Cancels requests at their deadline and retries opens at another upstream.
 void Balancer::Impl::expireRequests() {
   Requests_.expire(requestTick(Now_.Mono_), [this](RequestRow &Row) {
-    if (Row.Done_)
+    if (Row.Completed_)
       return;
-    Upstreams_.failed(Row.Upstream_, Now_.Mono_, draw());
+    Upstreams_.recordFailure(Row.Upstream_, Now_.Mono_, randomFraction());
     if (Row.Key_.Number_ == 0) {
       retryOpen(Row, ErrorKind::NoAnswer);
       return;
     }
     Message Cancel;
-    Cancel.Kind_ = Kind::Cancel;
+    Cancel.Kind_ = MessageKind::Cancel;
     Cancel.Service_ = Row.Key_.Service_;
     Cancel.Flow_ = Row.Key_.Flow_;
     Cancel.Request_ = Row.Key_.Number_;
     Cancel.Attempt_ = Row.Attempt_;
     Cancel.Caller_ = Row.Caller_;
-    toUpstream(Upstreams_[Row.Upstream_].At_, Cancel);
+    sendToUpstream(Upstreams_[Row.Upstream_].Address_, Cancel);
     --Upstreams_[Row.Upstream_].InFlight_;
-    refuseRow(Row, ErrorKind::NoAnswer, Answer::OutcomeUnknown);
+    refuseRow(Row, ErrorKind::NoAnswer, ErrorResponse::OutcomeUnknown);
   });
 }
 
 void Balancer::Impl::expireFlows() {
   Flows_.expire(flowTick(Now_.Mono_),
-                [this](FlowRow &Row) { forgetFlow(Row); });
+                [this](FlowRow &Row) { releaseFlow(Row); });
 }
 
 Status Balancer::Impl::status() const {
   Status S;
-  S.InForce_ = Declaration_ ? Declaration_->Version_ : 0;
+  S.DeclarationVersion_ = Declaration_ ? Declaration_->Version_ : 0;
   S.Digest_ = Declaration_ ? Declaration_->Digest_ : 0;
   S.Ready_ = ready();
   S.Stopping_ = Stopping_;
   S.Flows_ = Flows_.size();
   S.Requests_ = Requests_.size();
-  S.Passes_ = Passes_.size();
-  S.MemoryBytes_ = Flows_.memory() + Requests_.memory() + Passes_.memory();
+  S.PendingForwards_ = Forwards_.size();
+  S.MemoryBytes_ =
+      Flows_.memoryBytes() + Requests_.memoryBytes() + Forwards_.memoryBytes();
   S.Now_ = Now_.Mono_;
   S.Upstreams_ = Upstreams_.rows();
   return S;
@@ -282,7 +288,7 @@
   Options_.Chooser_ = std::move(Value);
   return *this;
 }
-BalancerBuilder &BalancerBuilder::zones(ZoneClock Value) {
+BalancerBuilder &BalancerBuilder::zones(TimeZoneClock Value) {
   Options_.Zones_ = std::move(Value);
   return *this;
 }
@@ -290,8 +296,8 @@
   Options_.OnDelay_ = std::move(Value);
   return *this;
 }
-BalancerBuilder &BalancerBuilder::flowBound(std::uint32_t Value) {
-  Options_.FlowBound_ = Value;
+BalancerBuilder &BalancerBuilder::maxFlows(std::uint32_t Value) {
+  Options_.MaxFlows_ = Value;
   return *this;
 }
 Balancer BalancerBuilder::build() const {
--- /dev/null
+++ b/src/gossip.cc
@@ -0,0 +1,381 @@
+#include "gossip-impl.h"
+#include "mechanism.h"
+
+#include <algorithm>
+#include <cmath>
+
+namespace thymewall {
+
+using detail::GossipLink;
+
+namespace {
+
+/// Peers that a starting balancer asks for recently ended upstreams. All
+/// running balancers know the same ones, but one or two of three may have just
+/// started too.
+constexpr std::size_t MaxEndedRequests = 3;
+
+} // namespace
+
+void GossipNode::Impl::received(MonoTime Now, LinkId Link,
+                                const GossipMessage &M) {
+  auto Known = Links_.find(Link);
+  if (Known == Links_.end())
+    return;
+  Known->second.ExpiresAt_ = Now + LinkTimeout;
+  std::visit([&](const auto &Typed) { handle(Now, Link, Typed); }, M);
+}
+
+void GossipNode::Impl::handle(MonoTime Now, LinkId Link,
+                              const PeerHeartbeat &M) {
+  if (M.Sender_.Name_ == Options_.Self_.Name_)
+    return Hooks_.Close_(Link); // a seed address of this process
+  GossipLink &L = Links_[Link];
+  L.Peer_ = M.Sender_.Name_;
+  L.LastReceivedSequence_ = M.Sequence_;
+  Connecting_.erase(M.Sender_.Control_);
+  if (M.Leaving_)
+    Members_.remove(M.Sender_.Name_);
+  else
+    Members_.learn(Now, M.Sender_);
+  for (const Member &Reported : M.Members_)
+    Members_.learn(Now, Reported);
+  notifyIfJoined(Now, M);
+  acceptFirstAlive(Now, L, M);
+  acceptConfirmation(Now, L, M);
+  requestIfBehind(Now, Link, M);
+  closeDuplicate(Link, M.Sender_.Name_);
+  if (L.Redirected_)
+    Hooks_.Close_(Link); // its members were learned above
+}
+
+void GossipNode::Impl::notifyIfJoined(MonoTime Now, const PeerHeartbeat &M) {
+  Micros Uptime = std::chrono::milliseconds(M.UptimeMs_);
+  if (Hooks_.OnPeerJoined_ && Uptime < RecentStartAge)
+    Hooks_.OnPeerJoined_(Now - Uptime);
+}
+
+void GossipNode::Impl::acceptConfirmation(MonoTime Now, const GossipLink &L,
+                                          const PeerHeartbeat &M) {
+  if (M.StateAgeMs_ == PeerHeartbeat::UnknownAgeMs)
+    return;
+  Version OwnVersion = Routing_ ? Routing_->Version_ : 0;
+  if (OwnVersion < M.Routing_ || List_.through() < M.Through_)
+    return; // the peer has newer state than this balancer
+  if (Now - L.sentAt(M.EchoedSequence_) > MaxEchoAge) {
+    ++Counters_.StaleConfirmations_;
+    return;
+  }
+  MonoTime AsOf = Now - std::chrono::milliseconds(M.StateAgeMs_);
+  if (M.ReaderAgeMs_ != PeerHeartbeat::UnknownAgeMs)
+    noteReader(M.ReaderScore_, Now - std::chrono::milliseconds(M.ReaderAgeMs_),
+               Now);
+  confirm(Now, AsOf);
+  // Sent at once: a lower reader score that waited for the next confirmation at
+  // each hop would expire after three hops, and two balancers would go on
+  // reading.
+  if (FirstReader_.Score_ < AnnouncedReader_)
+    sendHeartbeats(Now);
+}
+
+void GossipNode::Impl::noteReader(std::uint64_t Score, MonoTime At,
+                                  MonoTime Now) {
+  FirstReader_.update(Score, At, Now, TakeoverAge);
+  if (FirstReader_.Score_ < Score_)
+    IsReader_ = false;
+}
+
+void GossipNode::Impl::noteAlive(MonoTime Now, std::uint64_t Score,
+                                 MonoTime At) {
+  bool OthersFirst = FirstAlive_.Score_ < Score_;
+  FirstAlive_.update(Score, At, Now, LinkTimeout);
+  if (OthersFirst && FirstAlive_.Score_ >= Score_)
+    FirstAliveSince_ = Now;
+}
+
+/// A reported sign of life counts only if the echo proves the message recent:
+/// balancers on the other side of a network partition must not wait for it.
+void GossipNode::Impl::acceptFirstAlive(MonoTime Now, const GossipLink &L,
+                                        const PeerHeartbeat &M) {
+  bool Recent = Now - L.sentAt(M.EchoedSequence_) <= MaxEchoAge;
+  if (!Recent || M.Leaving_)
+    return;
+  noteAlive(Now, detail::readerScore(M.Sender_.Name_), Now);
+  if (M.FirstAliveAgeMs_ != PeerHeartbeat::UnknownAgeMs)
+    noteAlive(Now, M.FirstAliveScore_,
+              Now - std::chrono::milliseconds(M.FirstAliveAgeMs_));
+  // Forwarded at once: if it waited for the next heartbeat at each hop, it
+  // would expire after three hops.
+  bool Fresher = FirstAlive_.At_ - AnnouncedAliveAt_ > AliveUpdateStep;
+  if (Fresher && !Members_.tracksAllMembers())
+    sendHeartbeats(Now);
+}
+
+void GossipNode::Impl::confirm(MonoTime Now, MonoTime AsOf) {
+  if (AsOf <= ConfirmedAsOf_)
+    return;
+  ConfirmedAsOf_ = AsOf;
+  Hooks_.OnConfirmed_(AsOf);
+  if (ConfirmedAsOf_ - AnnouncedAsOf_ > ConfirmationStep)
+    sendHeartbeats(Now);
+}
+
+void GossipNode::Impl::requestIfBehind(MonoTime Now, LinkId Link,
+                                       const PeerHeartbeat &M) {
+  Version OwnVersion = Routing_ ? Routing_->Version_ : 0;
+  bool Behind = OwnVersion < M.Routing_ || List_.through() < M.Through_;
+  GossipLink &L = Links_[Link];
+  L.PeerParts_ = M.Through_ == 0 ? M.Parts_ : allParts();
+  L.PeerUpstreamCount_ = M.UpstreamCount_;
+  if (startsFromParts(L))
+    return requestParts(Now, Link);
+  bool IncludeEnded = EndedResponses_ < MaxEndedRequests &&
+                      !L.RequestedEnded_ &&
+                      detail::isEnabled(detail::Mechanism::EndedUpstreams);
+  if ((!Behind && !IncludeEnded) || Now < NextRequestAt_)
+    return;
+  NextRequestAt_ = Now + RequestTimeout;
+  L.RequestedAt_ = Now;
+  L.RequestedEnded_ = L.RequestedEnded_ || IncludeEnded;
+  L.PendingRequests_.push_back(IncludeEnded);
+  Hooks_.Send_(
+      Link,
+      StateRequest{
+          OwnVersion, List_.through(), IncludeEnded, {}, requestDigests()});
+}
+
+void GossipNode::Impl::handle(MonoTime Now, LinkId Link,
+                              const StateRequest &M) {
+  StateUpdate Response;
+  Response.StateAgeMs_ = stateAgeMs(Now);
+  if (Routing_ && Routing_->Version_ > M.Routing_)
+    Response.Routing_ = Routing_;
+  Response.Parts_ = M.Parts_ & heldParts();
+  if (M.Parts_.any())
+    Response.Upstreams_ = List_.entriesIn(M.Parts_);
+  else if (M.Digests_)
+    Response.Upstreams_ = List_.diffByDigests(*M.Digests_);
+  else
+    Response.Upstreams_ = List_.changesSince(M.Through_);
+  Response.Evacuations_ = Evacuations_.all();
+  if (M.IncludeEnded_)
+    Response.Upstreams_.Ended_ = List_.ended();
+  ++Counters_.UpdatesSent_;
+  Hooks_.Send_(Link, Response);
+}
+
+void GossipNode::Impl::handle(MonoTime Now, LinkId Link, const StateUpdate &M) {
+  ++Counters_.UpdatesReceived_;
+  if (Links_[Link].popRequest())
+    ++EndedResponses_;
+  if (M.Parts_.any())
+    return handleParts(Now, Link, M);
+  NextRequestAt_ = Now;
+  if (!apply(Now, M.Routing_, M.Upstreams_, M.Evacuations_)) {
+    ++Counters_.RevisionGaps_; // the next heartbeat triggers another request
+    return;
+  }
+  // The response was made after the request was sent.
+  bool Recent = Now - Links_[Link].RequestedAt_ <= MaxEchoAge;
+  if (Recent && M.StateAgeMs_ != PeerHeartbeat::UnknownAgeMs)
+    confirm(Now, Now - std::chrono::milliseconds(M.StateAgeMs_));
+  sendHeartbeats(Now);
+}
+
+void GossipNode::Impl::handle(MonoTime Now, LinkId Link,
+                              const UpstreamWarning &M) {
+  if (forwardWarning(Now, M, &Link))
+    Hooks_.OnWarning_(M);
+}
+
+/// Sends a warning on all links except its source. Returns false if it was sent
+/// recently or its kind has reached its limit.
+bool GossipNode::Impl::forwardWarning(MonoTime Now, const UpstreamWarning &M,
+                                      const LinkId *From) {
+  auto Known = RecentWarnings_.find(M);
+  bool Repeated = Known != RecentWarnings_.end() && Now < Known->second;
+  auto SameKind = [&M](const auto &Item) {
+    return Item.first.Kind_ == M.Kind_;
+  };
+  auto SameKindCount =
+      std::count_if(RecentWarnings_.begin(), RecentWarnings_.end(), SameKind);
+  if (!detail::isEnabled(detail::Mechanism::PeerWarnings) || Repeated ||
+      static_cast<std::size_t>(SameKindCount) >= MaxWarningsPerInterval)
+    return false;
+  RecentWarnings_[M] = Now + WarningInterval;
+  for (const auto &[Link, L] : Links_) {
+    if (From && *From == Link)
+      continue;
+    ++Counters_.WarningsSent_;
+    Hooks_.Send_(Link, M);
+  }
+  return true;
+}
+
+bool GossipNode::Impl::apply(MonoTime Now, const RoutingTablePtr &Routing,
+                             const UpstreamBatch &Upstreams,
+                             const EvacuationBatch &Evacuations) {
+  if (Routing && (!Routing_ || Routing->Version_ > Routing_->Version_)) {
+    Routing_ = Routing;
+    Hooks_.OnRouting_(Routing_);
+  }
+  std::vector<UpstreamChange> Changes;
+  bool First = List_.through() == 0;
+  if (!List_.apply(Upstreams, Changes))
+    return false;
+  // Evacuations come before upstreams, so that waiting openings don't go to a
+  // hall that the same update evacuates. They aren't applied if changes are
+  // missing: upstreams of a hall whose evacuation ended may be cold again.
+  applyEvacuations(Evacuations);
+  bool Outage = !First && Now - ConfirmedAsOf_ > OutageAge;
+  if (First || !Changes.empty())
+    Hooks_.OnUpstreams_(Changes, Outage);
+  return true;
+}
+
+void GossipNode::Impl::applyEvacuations(const EvacuationBatch &Batch) {
+  std::vector<EvacuationChange> Changes;
+  Evacuations_.apply(Batch, Changes);
+  if (!Changes.empty() && Hooks_.OnEvacuations_)
+    Hooks_.OnEvacuations_(Changes);
+}
+
+void GossipNode::Impl::staleListRead(MonoTime Now,
+                                     const ConfigResponse &Response) {
+  ListParts Parts = Response.Parts_.value_or(allParts());
+  bool Missing = hasMissingParts(Parts);
+  apply(Now, Response.Routing_, Missing ? Response.Batch_ : UpstreamBatch{},
+        Response.Evacuations_);
+  addParts(Now, Parts);
+}
+
+bool GossipNode::Impl::readSucceeded(MonoTime Now,
+                                     const ConfigResponse &Response,
+                                     MonoTime AsOf) {
+  Revision Before = List_.through();
+  if (!apply(Now, Response.Routing_, Response.Batch_, Response.Evacuations_))
+    return false;
+  // Otherwise balancers that start together all keep reading until they hear of
+  // a reader with a lower score.
+  if (!HasRead_)
+    ReadPauseUntil_ = Now + FirstReadPause;
+  HasRead_ = true;
+  noteReader(Score_, Now, Now);
+  IsReader_ = FirstReader_.Score_ == Score_;
+  confirm(Now, AsOf);
+  if (List_.through() != Before)
+    sendHeartbeats(Now);
+  return true;
+}
+
+FleetView GossipNode::Impl::fleetView(MonoTime Now) const {
+  FleetView View;
+  View.SelfHash_ = Score_;
+  for (const Member &M : Members_.all())
+    View.PeerHashes_.push_back(detail::readerScore(M.Name_));
+  View.EstimatedSize_ = fleetSize();
+  View.Settled_ = !Leaving_ && Now - RunningSince_ >= RecentStartAge;
+  return View;
+}
+
+/// Announces this reader before a list read: it takes so long that the state
+/// ages meanwhile, and the next ranks would read the list too.
+void GossipNode::Impl::listReadStarted(MonoTime Now) {
+  if (ConfirmedAsOf_ == MonoTime{})
+    return;
+  noteReader(Score_, Now, Now);
+  sendHeartbeats(Now);
+}
+
+MonoTime GossipNode::Impl::nextReadAt() const {
+  bool AlwaysReads = !detail::isEnabled(detail::Mechanism::SingleReader);
+  if (AlwaysReads || IsReader_)
+    return ReadPauseUntil_;
+  if (ConfirmedAsOf_ == MonoTime{}) { // peers may still send the state
+    auto Rank = static_cast<Micros::rep>(Members_.rankOf(Score_));
+    return std::max(ReadPauseUntil_, RunningSince_ + StartupReadStep * Rank);
+  }
+  bool OtherReads = FirstReader_.Score_ < Score_;
+  MonoTime ConfirmedAt =
+      OtherReads ? std::max(ConfirmedAsOf_, FirstReader_.At_) : ConfirmedAsOf_;
+  return std::max(ReadPauseUntil_, takeoverTime(ConfirmedAt));
+}
+
+/// Returns when to read if the state or the reader was last confirmed at
+/// \p ConfirmedAt. The rank counts while a balancer with a lower score is
+/// alive. In a network partition without one, members read within a bound that
+/// doesn't depend on their ranks.
+MonoTime GossipNode::Impl::takeoverTime(MonoTime ConfirmedAt) const {
+  std::size_t Rank = Members_.rankOf(Score_);
+  if (Rank == 0)
+    return ConfirmedAsOf_;
+  MonoTime From = ConfirmedAt + TakeoverAge;
+  if (Links_.empty())
+    return From;
+  bool FirstInPartition =
+      FirstAlive_.Score_ >= Score_ && !Members_.tracksAllMembers();
+  if (FirstInPartition)
+    return std::max(From, FirstAliveSince_ + partitionJitter());
+  std::size_t Steps =
+      Members_.tracksAllMembers() ? std::min(Rank, MaxTakeoverSteps) : Rank;
+  return From + TakeoverStep * static_cast<Micros::rep>(Steps);
+}
+
+/// Spreads the reads of members that lose the lower scores at the same time.
+Micros GossipNode::Impl::partitionJitter() const {
+  auto Share = std::ldexp(static_cast<double>(Score_), -64);
+  return Micros(static_cast<Micros::rep>(
+      Share * static_cast<double>(PartitionJitter.count())));
+}
+
+GossipCounters GossipNode::Impl::counters() const {
+  GossipCounters Result = Counters_;
+  Result.Links_ = Links_.size();
+  Result.Members_ = Members_.size();
+  return Result;
+}
+
+GossipNode::GossipNode(GossipOptions Options, GossipHooks Hooks)
+    : Impl_(std::make_unique<Impl>(std::move(Options), std::move(Hooks))) {}
+GossipNode::~GossipNode() = default;
+void GossipNode::opened(MonoTime Now, LinkId Link, bool Outbound) {
+  Impl_->opened(Now, Link, Outbound);
+}
+void GossipNode::closed(MonoTime Now, LinkId Link) { Impl_->closed(Now, Link); }
+void GossipNode::connectFailed(MonoTime Now, const Endpoint &Control) {
+  Impl_->connectFailed(Now, Control);
+}
+void GossipNode::received(MonoTime Now, LinkId Link, const GossipMessage &M) {
+  Impl_->received(Now, Link, M);
+}
+bool GossipNode::readSucceeded(MonoTime Now, const ConfigResponse &Response,
+                               MonoTime AsOf) {
+  return Impl_->readSucceeded(Now, Response, AsOf);
+}
+void GossipNode::warn(MonoTime Now, const UpstreamWarning &M) {
+  Impl_->warn(Now, M);
+}
+void GossipNode::readFailed() { Impl_->readFailed(); }
+void GossipNode::listReadStarted(MonoTime Now) { Impl_->listReadStarted(Now); }
+void GossipNode::staleListRead(MonoTime Now, const ConfigResponse &Response) {
+  Impl_->staleListRead(Now, Response);
+}
+void GossipNode::setLeaving(MonoTime Now) { Impl_->setLeaving(Now); }
+void GossipNode::setSeeds(std::vector<Endpoint> Seeds) {
+  Impl_->setSeeds(std::move(Seeds));
+}
+void GossipNode::tick(MonoTime Now) { Impl_->tick(Now); }
+MonoTime GossipNode::nextReadAt() const { return Impl_->nextReadAt(); }
+Revision GossipNode::through() const { return Impl_->through(); }
+MonoTime GossipNode::confirmedAsOf() const { return Impl_->confirmedAsOf(); }
+std::size_t GossipNode::fleetSize() const { return Impl_->fleetSize(); }
+FleetView GossipNode::fleetView(MonoTime Now) const {
+  return Impl_->fleetView(Now);
+}
+bool GossipNode::isDataHallLost(MonoTime Now) const {
+  return Impl_->isDataHallLost(Now);
+}
+GossipCounters GossipNode::counters() const { return Impl_->counters(); }
+std::vector<MemberStatus> GossipNode::peers() const { return Impl_->peers(); }
+
+} // namespace thymewall
--- a/src/json-reader.cc
+++ b/src/json-reader.cc
@@ -7,7 +7,7 @@
 const Json EmptyArray = Json::array();
 
 std::string rangeText(std::int64_t Min, std::int64_t Max) {
-  return "must be a whole number from " + std::to_string(Min) + " to " +
+  return "must be an integer from " + std::to_string(Min) + " to " +
          std::to_string(Max);
 }
 
@@ -17,8 +17,8 @@
   try {
     return Json::parse(Text);
   } catch (const Json::parse_error &Error) {
-    Found.add("(document)",
-              "is not JSON at byte " + std::to_string(Error.byte));
+    Found.add("(document)", "is not valid JSON: syntax error at byte " +
+                                std::to_string(Error.byte));
     return nullptr;
   }
 }
@@ -34,7 +34,7 @@
   return Path_.empty() ? Key : Path_ + "." + Key;
 }
 
-void ObjectReader::fault(const char *Key, std::string Reason) {
+void ObjectReader::addProblem(const char *Key, std::string Reason) {
   Found_.add(path(Key), std::move(Reason));
 }
 
@@ -43,21 +43,22 @@
 }
 
 const Json *ObjectReader::find(const char *Key) {
-  Asked_.insert(Key);
+  ReadKeys_.insert(Key);
   return has(Key) ? &Object_.at(Key) : nullptr;
 }
 
 std::string ObjectReader::string(const char *Key) {
   const Json *Value = find(Key);
-  bool Good = Value && Value->is_string() && !Value->get<std::string>().empty();
-  if (Good)
+  bool Valid =
+      Value && Value->is_string() && !Value->get<std::string>().empty();
+  if (Valid)
     return Value->get<std::string>();
-  fault(Key, Value ? "must be a string that is not empty" : "is missing");
+  addProblem(Key, Value ? "must be a non-empty string" : "is missing");
   return {};
 }
 
 std::string ObjectReader::stringOr(const char *Key, std::string Default) {
-  Asked_.insert(Key);
+  ReadKeys_.insert(Key);
   return has(Key) ? string(Key) : std::move(Default);
 }
 
@@ -65,23 +66,23 @@
                                    std::int64_t Max) {
   const Json *Value = find(Key);
   if (!Value) {
-    fault(Key, "is missing");
+    addProblem(Key, "is missing");
     return Min;
   }
   bool TooLarge = Value->is_number_unsigned() &&
                   Value->get<std::uint64_t>() > static_cast<std::uint64_t>(Max);
-  bool Good = Value->is_number_integer() && !TooLarge &&
-              Value->get<std::int64_t>() >= Min &&
-              Value->get<std::int64_t>() <= Max;
-  if (Good)
+  bool Valid = Value->is_number_integer() && !TooLarge &&
+               Value->get<std::int64_t>() >= Min &&
+               Value->get<std::int64_t>() <= Max;
+  if (Valid)
     return Value->get<std::int64_t>();
-  fault(Key, rangeText(Min, Max));
+  addProblem(Key, rangeText(Min, Max));
   return Min;
 }
 
 std::int64_t ObjectReader::integerOr(const char *Key, std::int64_t Default,
                                      std::int64_t Min, std::int64_t Max) {
-  Asked_.insert(Key);
+  ReadKeys_.insert(Key);
   return has(Key) ? integer(Key, Min, Max) : Default;
 }
 
@@ -90,12 +91,12 @@
   const Json *Value = find(Key);
   if (!Value)
     return Default;
-  bool Good = Value->is_number() && Value->get<double>() >= Min &&
-              Value->get<double>() <= Max;
-  if (Good)
+  bool Valid = Value->is_number() && Value->get<double>() >= Min &&
+               Value->get<double>() <= Max;
+  if (Valid)
     return Value->get<double>();
-  fault(Key, "must be a number from " + std::to_string(Min) + " to " +
-                 std::to_string(Max));
+  addProblem(Key, "must be a number from " + std::to_string(Min) + " to " +
+                      std::to_string(Max));
   return Default;
 }
 
@@ -105,7 +106,7 @@
     return Default;
   if (Value->is_boolean())
     return Value->get<bool>();
-  fault(Key, "must be true or false");
+  addProblem(Key, "must be true or false");
   return Default;
 }
 
@@ -113,10 +114,10 @@
   std::string Text = string(Key);
   if (Text.empty())
     return {};
-  Endpoint Where = parseEndpoint(Text);
-  if (Where.empty())
-    fault(Key, "must be an IP number and port, such as 192.0.2.1:7000");
-  return Where;
+  Endpoint Result = parseEndpoint(Text);
+  if (Result.empty())
+    addProblem(Key, "must be an IP address and port, such as 192.0.2.1:7000");
+  return Result;
 }
 
 const Json &ObjectReader::array(const char *Key, bool Required) {
@@ -124,9 +125,9 @@
   if (Value && Value->is_array())
     return *Value;
   if (Value)
-    fault(Key, "must be an array");
+    addProblem(Key, "must be an array");
   else if (Required)
-    fault(Key, "is missing");
+    addProblem(Key, "is missing");
   return EmptyArray;
 }
 
@@ -136,8 +137,8 @@
   if (!Object_.is_object())
     return;
   for (const auto &[Key, Value] : Object_.items())
-    if (Asked_.count(Key) == 0)
-      fault(Key.c_str(), "is not a known key");
+    if (ReadKeys_.count(Key) == 0)
+      addProblem(Key.c_str(), "is not a known key");
 }
 
 std::vector<Endpoint> readEndpoints(ObjectReader &Reader, const char *Key,
@@ -149,7 +150,7 @@
         std::string(Key) + "[" + std::to_string(Result.size()) + "]";
     Result.push_back(parseEndpoint(Value));
     if (Result.back().empty())
-      Found.add(Path, "must be an IP number and port");
+      Found.add(Path, "must be an IP address and port");
   }
   return Result;
 }
--- a/src/list-parts.cc
+++ b/src/list-parts.cc
@@ -4,22 +4,24 @@
 
 namespace {
 
-/// Odd, so that all parts come in turn; far apart, so that balancers whose
-/// first parts are neighbours share no other one.
-constexpr std::uint8_t Step = 97;
+/// Odd, so that all parts come in turn; large, so that balancers with adjacent
+/// first parts share few others.
+constexpr std::uint8_t PartStep = 97;
 
 } // namespace
 
-void PartsReading::read(std::size_t Upstreams) {
-  Parts_.set(Next_);
-  Next_ = static_cast<std::uint8_t>(Next_ + Step);
+void PartReadPlan::addPart(std::size_t Upstreams) {
+  Parts_.set(NextPart_);
+  NextPart_ = static_cast<std::uint8_t>(NextPart_ + PartStep);
   Upstreams_ += Upstreams;
 }
 
-bool PartsReading::listIsShort() const {
-  return Upstreams_ < LeastInPart * Parts_.count();
+bool PartReadPlan::listIsShort() const {
+  return Upstreams_ < MinUpstreamsPerPart * Parts_.count();
 }
 
-bool PartsReading::enough() const { return Upstreams_ >= LeastAtStart; }
+bool PartReadPlan::hasEnough() const {
+  return Upstreams_ >= MinUpstreamsAtStart;
+}
 
 } // namespace thymewall
--- a/src/load-main.cc
+++ b/src/load-main.cc
@@ -1,4 +1,4 @@
-// thymewall-load: load, experiments, and the audit of a run.
+// thymewall-load: generates load and audits the records of a run.
 #include "load-audit.h"
 #include "load-run.h"
 #include "program.h"
@@ -11,7 +11,7 @@
 
 namespace {
 
-std::string need(const std::string &Path) {
+std::string readRequiredFile(const std::string &Path) {
   std::optional<std::string> Text = readFile(Path);
   if (!Text)
     throw std::runtime_error(Path + ": can't be read");
@@ -23,21 +23,23 @@
   std::vector<std::string> Upstreams;
   Upstreams.reserve(Files.size());
   for (const std::string &File : Files)
-    Upstreams.push_back(need(File));
-  Verdict V = audit(need(Record), Upstreams, ConfigSeconds);
-  std::cout << V.Line_ << "\n";
-  return V.Kept_ ? ExitDone : ExitFoundWrong;
+    Upstreams.push_back(readRequiredFile(File));
+  AuditResult Result =
+      auditRun(readRequiredFile(Record), Upstreams, ConfigSeconds);
+  std::cout << Result.Json_ << "\n";
+  return Result.Passed_ ? ExitSuccess : ExitFailure;
 }
 
 int run(int Count, char **Values) {
-  cxxopts::Options Options("thymewall-load",
-                           "Runs a scenario, or with --audit judges one.");
+  cxxopts::Options Options(
+      "thymewall-load",
+      "Runs a load scenario, or audits the records of a run with --audit.");
   Options.add_options()("config", "scenario in JSON",
                         cxxopts::value<std::string>())(
       "record", "the callers' record: written by a run, read by --audit",
       cxxopts::value<std::string>())(
-      "audit", "judge a record against the upstreams' records")(
-      "config-seconds", "shown as config_seconds_max",
+      "audit", "check a record against the upstreams' records")(
+      "config-seconds", "value reported as config_seconds_max",
       cxxopts::value<double>()->default_value("0"))(
       "files", "", cxxopts::value<std::vector<std::string>>());
   Options.parse_positional("files");
@@ -56,7 +58,7 @@
   LoadRun Run(Context, S);
   Context.run();
   std::ofstream(Record) << Run.record();
-  return ExitDone;
+  return ExitSuccess;
 }
 
 } // namespace
--- a/src/message.cc
+++ b/src/message.cc
@@ -15,13 +15,13 @@
   auto Fields = [](const Message &M) {
     return std::tie(M.Kind_, M.Service_, M.Flow_, M.Request_, M.Part_, M.Parts_,
                     M.Flags_, M.Deadline_, M.Attempt_, M.Epoch_, M.Incarnation_,
-                    M.Reason_, M.RetryAt_, M.Load_, M.Route_, M.Caller_,
+                    M.Reason_, M.RetryAt_, M.OpenFlows_, M.Route_, M.Caller_,
                     M.Payload_);
   };
   return Fields(A) == Fields(B);
 }
 
-Message about(const Message &M, Kind K) {
+Message makeReply(const Message &M, MessageKind K) {
   Message Result;
   Result.Kind_ = K;
   Result.Service_ = M.Service_;
@@ -37,54 +37,55 @@
 constexpr std::size_t TagSize = crypto_shorthash_siphashx24_BYTES;
 static_assert(crypto_shorthash_siphashx24_KEYBYTES == sizeof(SecretKey));
 
-/// Appends CBOR items to a caller's buffer and remembers whether all fitted.
+/// Writes CBOR items to a buffer; `ok` is false once an item doesn't fit.
 class Writer {
 public:
-  Writer(std::uint8_t *Buffer, std::size_t Size) : At_(Buffer), Left_(Size) {}
+  Writer(std::uint8_t *Buffer, std::size_t Size)
+      : Cursor_(Buffer), Remaining_(Size) {}
 
   void array(std::size_t Count) {
-    take(cbor_encode_array_start(Count, At_, Left_));
+    commit(cbor_encode_array_start(Count, Cursor_, Remaining_));
   }
   void number(std::uint64_t Value) {
-    take(cbor_encode_uint(Value, At_, Left_));
+    commit(cbor_encode_uint(Value, Cursor_, Remaining_));
   }
   void bytes(Bytes Value) {
-    take(cbor_encode_bytestring_start(Value.Size_, At_, Left_));
-    if (!Ok_ || Left_ < Value.Size_) {
+    commit(cbor_encode_bytestring_start(Value.Size_, Cursor_, Remaining_));
+    if (!Ok_ || Remaining_ < Value.Size_) {
       Ok_ = false;
       return;
     }
     if (Value.Size_ != 0)
-      std::memcpy(At_, Value.Data_, Value.Size_);
+      std::memcpy(Cursor_, Value.Data_, Value.Size_);
     advance(Value.Size_);
   }
   void endpoint(const Endpoint &Where) {
     if (Where.empty())
       return bytes({});
     std::uint8_t Raw[EndpointSize];
-    std::memcpy(Raw, Where.Address_.data(), Where.Address_.size());
+    std::memcpy(Raw, Where.Ip_.data(), Where.Ip_.size());
     Raw[16] = static_cast<std::uint8_t>(Where.Port_ >> 8);
     Raw[17] = static_cast<std::uint8_t>(Where.Port_);
     bytes({Raw, sizeof Raw});
   }
   bool ok() const { return Ok_; }
-  const std::uint8_t *at() const { return At_; }
+  const std::uint8_t *cursor() const { return Cursor_; }
 
 private:
-  void take(std::size_t Written) {
+  void commit(std::size_t Written) {
     Ok_ = Ok_ && Written != 0;
     advance(Written);
   }
   void advance(std::size_t Count) {
-    At_ += Count;
-    Left_ -= Count;
+    Cursor_ += Count;
+    Remaining_ -= Count;
   }
-  std::uint8_t *At_;
-  std::size_t Left_;
+  std::uint8_t *Cursor_;
+  std::size_t Remaining_;
   bool Ok_ = true;
 };
 
-/// One decoded item; the library's streaming decoder fills it.
+/// A decoded item, filled in by the callbacks of libcbor.
 struct Item {
   enum class Type { Other, Number, Bytes, Array } Type_ = Type::Other;
   std::uint64_t Number_ = 0;
@@ -92,9 +93,9 @@
 };
 
 template <typename T> void onNumber(void *Context, T Value) {
-  auto *Into = static_cast<Item *>(Context);
-  Into->Type_ = Item::Type::Number;
-  Into->Number_ = Value;
+  auto *Target = static_cast<Item *>(Context);
+  Target->Type_ = Item::Type::Number;
+  Target->Number_ = Value;
 }
 
 cbor_callbacks makeCallbacks() {
@@ -104,24 +105,25 @@
   Callbacks.uint32 = onNumber<std::uint32_t>;
   Callbacks.uint64 = onNumber<std::uint64_t>;
   Callbacks.byte_string = [](void *Context, cbor_data Data, auto Size) {
-    auto *Into = static_cast<Item *>(Context);
-    Into->Type_ = Item::Type::Bytes;
-    Into->Bytes_ = {Data, static_cast<std::size_t>(Size)};
+    auto *Target = static_cast<Item *>(Context);
+    Target->Type_ = Item::Type::Bytes;
+    Target->Bytes_ = {Data, static_cast<std::size_t>(Size)};
   };
   Callbacks.array_start = [](void *Context, auto Count) {
-    auto *Into = static_cast<Item *>(Context);
-    Into->Type_ = Item::Type::Array;
-    Into->Number_ = Count;
+    auto *Target = static_cast<Item *>(Context);
+    Target->Type_ = Item::Type::Array;
+    Target->Number_ = Count;
   };
   return Callbacks;
 }
 
 const cbor_callbacks ItemCallbacks = makeCallbacks();
 
-/// Reads CBOR items one by one; after the first wrong item `ok` stays false.
+/// Reads CBOR items; `ok` is false from the first unexpected item on.
 class Reader {
 public:
-  Reader(const std::uint8_t *Data, std::size_t Size) : At_(Data), Left_(Size) {}
+  Reader(const std::uint8_t *Data, std::size_t Size)
+      : Cursor_(Data), Remaining_(Size) {}
 
   bool array(std::size_t Count) {
     Item I = next(Item::Type::Array);
@@ -152,13 +154,13 @@
     Ok_ = Raw.Size_ == EndpointSize;
     if (!Ok_)
       return Result;
-    std::memcpy(Result.Address_.data(), Raw.Data_, Result.Address_.size());
+    std::memcpy(Result.Ip_.data(), Raw.Data_, Result.Ip_.size());
     Result.Port_ =
         static_cast<std::uint16_t>(Raw.Data_[16] << 8 | Raw.Data_[17]);
     return Result;
   }
   bool ok() const { return Ok_; }
-  bool done() const { return Ok_ && Left_ == 0; }
+  bool done() const { return Ok_ && Remaining_ == 0; }
 
 private:
   Item next(enum Item::Type Wanted) {
@@ -166,20 +168,20 @@
     if (!Ok_)
       return I;
     cbor_decoder_result Result =
-        cbor_stream_decode(At_, Left_, &ItemCallbacks, &I);
+        cbor_stream_decode(Cursor_, Remaining_, &ItemCallbacks, &I);
     Ok_ = Result.status == CBOR_DECODER_FINISHED && I.Type_ == Wanted;
     if (!Ok_)
       return I;
-    At_ += Result.read;
-    Left_ -= Result.read;
+    Cursor_ += Result.read;
+    Remaining_ -= Result.read;
     return I;
   }
-  const std::uint8_t *At_;
-  std::size_t Left_;
+  const std::uint8_t *Cursor_;
+  std::size_t Remaining_;
   bool Ok_ = true;
 };
 
-std::uint64_t micros(WallTime When) {
+std::uint64_t toMicros(WallTime When) {
   return static_cast<std::uint64_t>(When.time_since_epoch().count());
 }
 
@@ -193,13 +195,13 @@
   W.number(M.Part_);
   W.number(M.Parts_);
   W.number(M.Flags_);
-  W.number(micros(M.Deadline_));
+  W.number(toMicros(M.Deadline_));
   W.number(M.Attempt_);
   W.number(M.Epoch_);
   W.number(raw(M.Incarnation_));
   W.number(raw(M.Reason_));
-  W.number(micros(M.RetryAt_));
-  W.number(M.Load_);
+  W.number(toMicros(M.RetryAt_));
+  W.number(M.OpenFlows_);
   W.bytes(M.Route_);
   W.endpoint(M.Caller_);
   W.bytes(M.Payload_);
@@ -208,10 +210,10 @@
 bool readMessage(Reader &R, Message &M) {
   if (!R.array(FieldCount) || R.number(ProtocolVersion) != ProtocolVersion)
     return false;
-  auto KindNumber = R.number(raw(Kind::Last));
+  auto KindNumber = R.number(raw(MessageKind::Last));
   if (KindNumber == 0)
     return false;
-  M.Kind_ = static_cast<Kind>(KindNumber);
+  M.Kind_ = static_cast<MessageKind>(KindNumber);
   M.Service_ = static_cast<ServiceId>(R.number<std::uint32_t>());
   M.Flow_ = static_cast<FlowId>(R.number<std::uint64_t>());
   M.Request_ = R.number<std::uint32_t>();
@@ -224,10 +226,10 @@
   M.Incarnation_ = static_cast<Incarnation>(R.number<std::uint64_t>());
   M.Reason_ = static_cast<ErrorKind>(R.number(raw(ErrorKind::Count) - 1U));
   M.RetryAt_ = R.time();
-  M.Load_ = R.number<std::uint32_t>();
-  M.Route_ = R.bytes(MaxRoute);
+  M.OpenFlows_ = R.number<std::uint32_t>();
+  M.Route_ = R.bytes(MaxRouteSize);
   M.Caller_ = R.endpoint();
-  M.Payload_ = R.bytes(MaxDatagram);
+  M.Payload_ = R.bytes(MaxDatagramSize);
   bool PartFits = M.Parts_ == 0 ? M.Part_ == 0 : M.Part_ < M.Parts_;
   return R.ok() && PartFits;
 }
@@ -242,11 +244,11 @@
 std::size_t encode(const Message &M, std::uint8_t *Buffer, std::size_t Size) {
   Writer W(Buffer, Size);
   writeMessage(W, M);
-  return W.ok() ? static_cast<std::size_t>(W.at() - Buffer) : 0;
+  return W.ok() ? static_cast<std::size_t>(W.cursor() - Buffer) : 0;
 }
 
 ErrorKind decode(const std::uint8_t *Data, std::size_t Size, Message &M) {
-  if (Size > MaxDatagram + MaxHeader)
+  if (Size > MaxDatagramSize + MaxHeaderSize)
     return ErrorKind::Oversized;
   Reader R(Data, Size);
   return readMessage(R, M) && R.done() ? ErrorKind::None : ErrorKind::Malformed;
@@ -262,31 +264,31 @@
   writeMessage(W, D.Inner_);
   if (!W.ok())
     return 0;
-  auto Length = static_cast<std::size_t>(W.at() - Buffer);
+  auto Length = static_cast<std::size_t>(W.cursor() - Buffer);
   makeTag(Buffer + TagSize, Length - TagSize, Secret, Buffer);
   return Length;
 }
 
 ErrorKind decodePeer(const std::uint8_t *Data, std::size_t Size,
                      const std::array<SecretKey, 2> &Keys, PeerDatagram &D) {
-  if (Size > MaxDatagram + 2 * MaxHeader)
+  if (Size > MaxDatagramSize + 2 * MaxHeaderSize)
     return ErrorKind::Oversized;
   if (Size <= TagSize)
     return ErrorKind::Malformed;
-  bool Known = false;
+  bool TagMatches = false;
   for (const SecretKey &Secret : Keys) {
     std::uint8_t Tag[TagSize];
     makeTag(Data + TagSize, Size - TagSize, Secret, Tag);
-    Known = Known || sodium_memcmp(Tag, Data, TagSize) == 0;
+    TagMatches = TagMatches || sodium_memcmp(Tag, Data, TagSize) == 0;
   }
-  if (!Known)
+  if (!TagMatches)
     return ErrorKind::BadTag;
   Reader R(Data + TagSize, Size - TagSize);
   R.array(2);
-  auto KindNumber = R.number(raw(PeerKind::Last));
+  auto KindNumber = R.number(raw(PeerMessageKind::Last));
   if (!R.ok() || KindNumber == 0)
     return ErrorKind::Malformed;
-  D.Kind_ = static_cast<PeerKind>(KindNumber);
+  D.Kind_ = static_cast<PeerMessageKind>(KindNumber);
   return readMessage(R, D.Inner_) && R.done() ? ErrorKind::None
                                               : ErrorKind::Malformed;
 }
--- a/src/packet-balancer.cc
+++ b/src/packet-balancer.cc
@@ -12,83 +12,83 @@
 
 namespace {
 
-/// Copies of an opening packet draw other candidates than the first one.
-constexpr std::uint64_t CopyDraw = 0x636f7079;
-/// The draw of a retry: the number of no copy that a caller sends.
+/// Hash salt with which retransmitted openings draw other candidates.
+constexpr std::uint64_t RetransmitDraw = 0x636f7079;
+/// Attempt number of a retry; callers never retransmit that often.
 constexpr std::uint32_t RetryDraw = 0x80;
 
-bool opens(const Packet &P) { return P.Opens_ && !P.Acknowledges_; }
+bool isOpening(const Packet &P) { return P.Opens_ && !P.Acknowledges_; }
 
-/// What only a server's side sends: no caller's packet.
-bool fromServer(const Packet &P) { return P.Opens_ && P.Acknowledges_; }
+/// Returns whether only a server sends such a packet (SYN and ACK).
+bool isFromServer(const Packet &P) { return P.Opens_ && P.Acknowledges_; }
 
 } // namespace
 
 PacketBalancer::Impl::Impl(PacketBalancerOptions Options)
-    : Options_(std::move(Options)), Upstreams_(detail::UnansweredToEject),
-      Flows_(Options_.FlowBound_) {}
+    : Options_(std::move(Options)), Upstreams_(detail::OpeningFailuresToEject),
+      Flows_(Options_.MaxFlows_) {}
 
 Verdict PacketBalancer::Impl::steer(MonoTime Now, const Packet &P) {
   Now_ = Now;
   ++Counters_.Packets_;
-  if (fromServer(P))
+  if (isFromServer(P))
     return refuse(P, ErrorKind::NotFromCaller);
   if (!Routing_)
     return refuse(P, ErrorKind::TableNotFresh);
   const std::vector<ServiceShare> *Shares = Routing_->find(P.Service_);
   if (!Shares) {
-    return refuse(P, fresh() ? ErrorKind::UnknownAddress
-                             : ErrorKind::TableNotFresh);
+    return refuse(P, isFresh() ? ErrorKind::UnknownAddress
+                               : ErrorKind::TableNotFresh);
   }
   FlowId Flow = flowOf(P);
-  return opens(P) ? open(P, Flow, *Shares) : follow(P, Flow);
+  return isOpening(P) ? open(P, Flow, *Shares) : routeByCookie(P, Flow);
 }
 
-Verdict PacketBalancer::Impl::refuse(const Packet &P, ErrorKind Why) {
-  ++Counters_.Errors_[static_cast<std::size_t>(Why)];
-  decide(Decision::Kind::Refused, P, UpstreamTable::None, Why, 0);
-  bool Resets = errorRow(Why).Answer_ == Answer::Reset && !P.Resets_;
+Verdict PacketBalancer::Impl::refuse(const Packet &P, ErrorKind Error) {
+  ++Counters_.Errors_[static_cast<std::size_t>(Error)];
+  reportDecision(Decision::Kind::Refused, P, UpstreamTable::None, Error, 0);
+  bool Resets = errorRow(Error).Response_ == ErrorResponse::Reset && !P.Resets_;
   if (!Resets)
-    return Dropped{Why};
+    return Dropped{Error};
   ++Counters_.Resets_;
-  std::uint32_t Sequence = opens(P) ? 0 : P.Acknowledged_;
-  return ResetFlow{P.Caller_, P.Service_, Sequence, Why};
+  std::uint32_t Sequence = isOpening(P) ? 0 : P.Acknowledged_;
+  return ResetFlow{P.Caller_, P.Service_, Sequence, Error};
 }
 
 Verdict PacketBalancer::Impl::open(const Packet &P, FlowId Flow,
                                    const std::vector<ServiceShare> &Shares) {
-  std::uint32_t Copy = P.Acknowledged_;
-  std::uint32_t Before = UpstreamTable::None;
+  std::uint32_t Attempt = P.Acknowledged_;
+  std::uint32_t Previous = UpstreamTable::None;
   PacketFlowRow *Row = Flows_.find(Flow);
-  if (Row && Copy > 0 && !Row->Open_) {
-    Before = Row->Upstream_;
-    if (Now_ - Row->Since_ >= openingWait())
-      noteSilence(Before);
+  if (Row && Attempt > 0 && !Row->Open_) {
+    Previous = Row->Upstream_;
+    if (Now_ - Row->Since_ >= openingTimeout())
+      recordUnansweredOpening(Previous);
   }
-  ServiceId Service = drawService(Shares, Flow);
-  std::uint32_t Index = choose(Service, Flow, Copy, Before);
+  ServiceId Service = chooseService(Shares, Flow);
+  std::uint32_t Index = choose(Service, Flow, Attempt, Previous);
   if (Index == UpstreamTable::None)
-    return refuse(P, whyNone(Service));
-  ++(Copy == 0 ? Counters_.Opened_ : Counters_.OpenMoved_);
-  return sendOpening(Copy == 0 ? Decision::Kind::Opened
-                               : Decision::Kind::OpenMoved,
+    return refuse(P, noCandidateError(Service));
+  ++(Attempt == 0 ? Counters_.Opened_ : Counters_.OpenMoved_);
+  return sendOpening(Attempt == 0 ? Decision::Kind::Opened
+                                  : Decision::Kind::OpenMoved,
                      P, Flow, Index);
 }
 
-/// Whether what is known is recent enough to refuse a caller by it.
-bool PacketBalancer::Impl::fresh() const {
-  return Now_ - KnownAsOf_ < Options_.ResetWhenKnown_ ||
-         !detail::has(detail::Mechanism::KnowledgeAge);
+/// Returns whether the state is recent enough to reset a caller's flow.
+bool PacketBalancer::Impl::isFresh() const {
+  return Now_ - ConfirmedAsOf_ < Options_.MaxStalenessForReset_ ||
+         !detail::isEnabled(detail::Mechanism::StalenessLimit);
 }
 
-/// Where an evacuation or the limit of cold upstreams is why nobody takes a
-/// flow, its caller is told at once; else upstreams may be published in a
-/// moment, and the opening waits.
-ErrorKind PacketBalancer::Impl::whyNone(ServiceId Service) const {
-  auto Known = Services_.find(raw(Service));
-  if (Known == Services_.end() || !fresh())
+/// Returns the error for an opening without a candidate. Evacuations and limits
+/// of cold upstreams reset the caller at once; `NoneLeft` holds the packet,
+/// since an upstream may be published soon.
+ErrorKind PacketBalancer::Impl::noCandidateError(ServiceId Service) const {
+  auto It = Services_.find(raw(Service));
+  if (It == Services_.end() || !isFresh())
     return ErrorKind::NoneLeft;
-  const std::vector<std::uint32_t> &Members = Known->second.Members_;
+  const std::vector<std::uint32_t> &Members = It->second.Members_;
   bool Evacuated =
       std::any_of(Members.begin(), Members.end(), [this](std::uint32_t Index) {
         const UpstreamRow &Row = Upstreams_.rows()[Index];
@@ -96,7 +96,8 @@
       });
   if (Evacuated)
     return ErrorKind::AllEvacuated;
-  return Known->second.Cold_.empty() ? ErrorKind::NoneLeft : ErrorKind::AllCold;
+  return It->second.ColdMembers_.empty() ? ErrorKind::NoneLeft
+                                         : ErrorKind::AllCold;
 }
 
 Verdict PacketBalancer::Impl::retryOpening(MonoTime Now, const Packet &P) {
@@ -105,62 +106,63 @@
   const std::vector<ServiceShare> *Shares =
       Routing_ ? Routing_->find(P.Service_) : nullptr;
   const PacketFlowRow *Row = Flows_.find(Flow);
-  bool Retries = detail::has(detail::Mechanism::OpeningRetries);
-  if (!Retries || !Shares || !Row || Row->Open_)
+  bool RetryEnabled = detail::isEnabled(detail::Mechanism::OpeningRetries);
+  if (!RetryEnabled || !Shares || !Row || Row->Open_)
     return Dropped{};
-  std::uint32_t Before = Row->Upstream_;
+  std::uint32_t Previous = Row->Upstream_;
   if (Serving_)
-    noteSilence(Before);
+    recordUnansweredOpening(Previous);
   std::uint32_t Index =
-      choose(drawService(*Shares, Flow), Flow, RetryDraw, Before);
-  if (Index == UpstreamTable::None || Index == Before)
+      choose(chooseService(*Shares, Flow), Flow, RetryDraw, Previous);
+  if (Index == UpstreamTable::None || Index == Previous)
     return Dropped{};
   ++Counters_.OpenRetried_;
   return sendOpening(Decision::Kind::OpenRetried, P, Flow, Index);
 }
 
-/// An opening got no answer from the upstream.
-void PacketBalancer::Impl::noteSilence(std::uint32_t Index) {
-  suspect(Index);
-  check(Index);
+void PacketBalancer::Impl::recordUnansweredOpening(std::uint32_t Index) {
+  recordOpeningFailure(Index);
+  requestCheck(Index);
 }
 
 Forward PacketBalancer::Impl::sendOpening(Decision::Kind Kind, const Packet &P,
                                           FlowId Flow, std::uint32_t Index) {
-  noteOpening(P, Flow, Index);
-  ServiceId Service = Details_[Index].Service_;
-  decide(Kind, P, Index, ErrorKind::None,
-         Services_[raw(Service)].Eligible_.size());
+  recordOpening(P, Flow, Index);
+  ServiceId Service = UpstreamStates_[Index].Service_;
+  reportDecision(Kind, P, Index, ErrorKind::None,
+                 Services_[raw(Service)].Eligible_.size());
   const UpstreamRow &Up = Upstreams_[Index];
-  return {Up.At_, Up.Incarnation_, cookieOf(Up.Incarnation_)};
+  return {Up.Address_, Up.Incarnation_, cookieOf(Up.Incarnation_)};
 }
 
 std::uint32_t PacketBalancer::Impl::choose(ServiceId Service, FlowId Flow,
-                                           std::uint32_t Copy,
+                                           std::uint32_t Attempt,
                                            std::uint32_t Avoid) {
-  auto Known = Services_.find(raw(Service));
-  if (Known == Services_.end())
+  auto It = Services_.find(raw(Service));
+  if (It == Services_.end())
     return UpstreamTable::None;
-  const Eligible &Among = eligible(Service, Known->second);
-  FlowId Drawn = Flow;
-  if (Copy > 0)
-    Drawn = static_cast<FlowId>(hashPair(raw(Flow), CopyDraw + Copy));
+  const EligibleSet &Candidates = eligibleUpstreams(Service, It->second);
+  FlowId DrawKey = Flow;
+  if (Attempt > 0)
+    DrawKey =
+        static_cast<FlowId>(hashPair(raw(Flow), RetransmitDraw + Attempt));
   std::uint32_t Cold =
-      chooseCold(Known->second, Drawn, coldLimit(Service), Avoid);
-  if (Cold != UpstreamTable::None || Among.empty())
+      chooseCold(It->second, DrawKey, coldLimit(Service), Avoid);
+  if (Cold != UpstreamTable::None || Candidates.empty())
     return Cold;
-  Choice C{{Service, Drawn}, Among, Upstreams_.rows(), Now_};
-  std::uint32_t Index = Among.Indexes_[Options_.Chooser_(C)];
+  ChooserInput C{{Service, DrawKey}, Candidates, Upstreams_.rows(), Now_};
+  std::uint32_t Index = Candidates.Indexes_[Options_.Chooser_(C)];
   if (Index != Avoid)
     return Index;
-  auto [First, Second] = candidates(C);
-  std::size_t Other = Among.Indexes_[First] == Avoid ? Second : First;
-  return Among.Indexes_[Other];
+  auto [First, Second] = drawCandidates(C);
+  std::size_t Other = Candidates.Indexes_[First] == Avoid ? Second : First;
+  return Candidates.Indexes_[Other];
 }
 
-const Eligible &PacketBalancer::Impl::eligible(ServiceId Service,
-                                               ServiceState &State) {
-  Upstreams_.review(Now_);
+const EligibleSet &
+PacketBalancer::Impl::eligibleUpstreams(ServiceId Service,
+                                        ServiceState &State) {
+  Upstreams_.expireEjections(Now_);
   bool Current = State.Generation_ == Upstreams_.generation() &&
                  State.Routing_ == Routing_->Version_ && Now_ < State.WarmAt_;
   if (Current)
@@ -169,8 +171,8 @@
   for (std::uint32_t Index : State.Members_)
     if (Upstreams_[Index].Declared_)
       Selected.push_back(Index);
-  Upstreams_.eligibleNow(Selected, Now_, State.Eligible_);
-  partCold(State, coldLimit(Service));
+  Upstreams_.selectEligible(Selected, Now_, State.Eligible_);
+  separateCold(State, coldLimit(Service));
   State.Generation_ = Upstreams_.generation();
   State.Routing_ = Routing_->Version_;
   return State.Eligible_;
@@ -178,106 +180,101 @@
 
 ColdLimit PacketBalancer::Impl::coldLimit(ServiceId Service) const {
   ColdLimit Limit = Options_.Cold_;
-  bool Limits = detail::has(detail::Mechanism::ColdLimits);
-  Limit.PerSecond_ = Limits ? Routing_->coldPerSecond(Service) : 0;
+  bool LimitEnabled = detail::isEnabled(detail::Mechanism::ColdLimits);
+  Limit.PerSecond_ = LimitEnabled ? Routing_->coldFlowsPerSecond(Service) : 0;
   return Limit;
 }
 
-/// Takes the cold upstreams of a service that limits them out of its
-/// candidates.
-void PacketBalancer::Impl::partCold(ServiceState &State,
-                                    const ColdLimit &Limit) {
-  State.Cold_.clear();
+/// Moves cold upstreams with a limit from the candidates to `ColdMembers_`.
+void PacketBalancer::Impl::separateCold(ServiceState &State,
+                                        const ColdLimit &Limit) {
+  State.ColdMembers_.clear();
   State.WarmAt_ = MonoTime::max();
-  if (!Limit.given())
+  if (!Limit.isSet())
     return;
-  Eligible Warm;
+  EligibleSet Warm;
   for (std::uint32_t Index : State.Eligible_.Indexes_) {
-    MonoTime ColdUntil = Details_[Index].ColdUntil_;
+    MonoTime ColdUntil = UpstreamStates_[Index].ColdUntil_;
     if (ColdUntil <= Now_) {
       Warm.add(Index, Upstreams_[Index].Slots_);
       continue;
     }
-    State.Cold_.push_back(Index);
+    State.ColdMembers_.push_back(Index);
     State.WarmAt_ = std::min(State.WarmAt_, ColdUntil);
   }
   State.Eligible_ = std::move(Warm);
 }
 
-/// A cold upstream that this balancer may open a flow to. It goes before the
-/// warm ones: few flows are so led, and each takes load from the others while
-/// these are fewest.
+/// Returns a cold upstream to which this balancer may open a flow now, or
+/// `None`. Cold upstreams have priority because their limit admits few flows.
 std::uint32_t PacketBalancer::Impl::chooseCold(const ServiceState &State,
                                                FlowId Flow,
                                                const ColdLimit &Limit,
                                                std::uint32_t Avoid) {
-  std::size_t Count = State.Cold_.size();
+  std::size_t Count = State.ColdMembers_.size();
   for (std::size_t I = 0; I < Count; ++I) {
-    std::uint32_t Index = State.Cold_[(raw(Flow) + I) % Count];
+    std::uint32_t Index = State.ColdMembers_[(raw(Flow) + I) % Count];
     Incarnation Which = Upstreams_[Index].Incarnation_;
-    if (Index == Avoid || !Cold_.admits(Now_, Which, Limit))
+    if (Index == Avoid || !ColdAdmission_.admits(Now_, Which, Limit))
       continue;
-    Cold_.opened(Now_, Which, Limit);
+    ColdAdmission_.recordOpening(Now_, Which, Limit);
     return Index;
   }
   return UpstreamTable::None;
 }
 
-/// The cookie alone decides, whichever service the address leads to by now: a
-/// balancer that has just started knows no earlier routing table, and a flow
-/// opened under one would get no answer. An upstream refuses flows that it
-/// doesn't hold, and only openings, which the table decides, make it hold one.
-/// Gain: 2.7% of requests while all balancers restart after a change of routes.
-Verdict PacketBalancer::Impl::follow(const Packet &P, FlowId Flow) {
-  auto Known = IndexOfCookie_.find(P.Cookie_);
-  if (Known == IndexOfCookie_.end())
+/// Forwards by cookie alone, whichever service the address belongs to now: a
+/// balancer that has just started does not know the routing table under which a
+/// flow was opened. Upstreams refuse flows that they do not hold.
+Verdict PacketBalancer::Impl::routeByCookie(const Packet &P, FlowId Flow) {
+  auto It = IndexOfCookie_.find(P.Cookie_);
+  if (It == IndexOfCookie_.end())
     return refuse(P, ErrorKind::UnknownCookie);
-  std::uint32_t Index = Known->second;
-  noteProgress(P, Flow, Index);
+  std::uint32_t Index = It->second;
+  recordProgress(P, Flow, Index);
   const UpstreamRow &Up = Upstreams_[Index];
-  return Forward{Up.At_, Up.Incarnation_, P.Cookie_};
+  return Forward{Up.Address_, Up.Incarnation_, P.Cookie_};
 }
 
 void PacketBalancer::Impl::setRouting(RoutingTablePtr Table) {
   if (Routing_ && Table->Version_ <= Routing_->Version_)
     return;
   Routing_ = std::move(Table);
-  // Services that it names may be those of upstreams at a shared address.
+  // Upstreams of newly named services may take over their address.
   std::vector<Endpoint> Shared;
-  for (const auto &[At, Rows] : AtAddress_)
+  for (const auto &[At, Rows] : IndexesByAddress_)
     if (Rows.size() > 1)
       Shared.push_back(At);
   for (const Endpoint &At : Shared)
-    settleAddress(At);
+    endReplacedUpstreams(At);
 }
 
-/// Three times the usual, so that callers far away don't cost two connections
-/// for each flow: on a calm day with 40 ms to callers a constant 40 ms makes
-/// 1937 retries, this makes 77.
-Micros PacketBalancer::Impl::openingWait() const {
+/// Three times the average opening delay, so that openings of distant callers
+/// are not retried needlessly.
+Micros PacketBalancer::Impl::openingTimeout() const {
   constexpr int Times = 3;
-  return std::min(Openings_.times(Times, UnansweredOpenings::AnswerWithin),
-                  UnansweredOpenings::LongestWait);
+  return std::min(OpeningDelay_.multiple(Times, UnansweredOpenings::MinTimeout),
+                  UnansweredOpenings::MaxTimeout);
 }
 
 void PacketBalancer::Impl::tick(MonoTime Now) {
   Now_ = Now;
-  if (Now > NextTickBy_) {
+  if (Now > NextTickDeadline_) {
     ++Counters_.LateWakes_;
-    KnownAsOf_ = MonoTime{}; // whatever was known may be over
-    forgetBeliefs();
+    ConfirmedAsOf_ = MonoTime{}; // the state may be outdated
+    clearHealthState();
   }
-  NextTickBy_ = Now + TickEvery + LateAfter;
-  Flows_.expire(dueTick(Micros(0)),
-                [this](const PacketFlowRow &Row) { countOut(Row); });
+  NextTickDeadline_ = Now + TickInterval + LateTickThreshold;
+  Flows_.expire(expiryTick(Micros(0)),
+                [this](const PacketFlowRow &Row) { subtractLoad(Row); });
   expireUpstreams();
-  checkDue();
-  noteStalls();
+  runDueChecks();
+  detectStalls();
 }
 
-void PacketBalancer::Impl::decide(Decision::Kind Kind, const Packet &P,
-                                  std::uint32_t Index, ErrorKind Why,
-                                  std::size_t Candidates) const {
+void PacketBalancer::Impl::reportDecision(Decision::Kind Kind, const Packet &P,
+                                          std::uint32_t Index, ErrorKind Error,
+                                          std::size_t Candidates) const {
   if (!Options_.OnDecision_)
     return;
   Decision D;
@@ -286,11 +283,11 @@
   D.Service_ = P.Service_;
   if (Index != UpstreamTable::None)
     D.Upstream_ = Upstreams_.rows()[Index].Incarnation_;
-  D.Why_ = Why;
+  D.Error_ = Error;
   D.Candidates_ = static_cast<std::uint32_t>(Candidates);
   D.RoutingVersion_ = Routing_ ? Routing_->Version_ : 0;
-  D.Known_ = KnownAsOf_ != MonoTime{};
-  D.KnowledgeAge_ = Now_ - KnownAsOf_;
+  D.HasConfirmation_ = ConfirmedAsOf_ != MonoTime{};
+  D.KnowledgeAge_ = Now_ - ConfirmedAsOf_;
   Options_.OnDecision_(D);
 }
 
@@ -317,29 +314,35 @@
     MonoTime Now, const std::vector<EvacuationChange> &Changes) {
   Impl_->applyEvacuations(Now, Changes);
 }
-void PacketBalancer::checked(MonoTime Now, Incarnation Upstream,
-                             CheckResult Result, MonoTime Began) {
-  Impl_->checked(Now, Upstream, Result, Began);
+void PacketBalancer::onCheckResult(MonoTime Now, Incarnation Upstream,
+                                   CheckResult Result, MonoTime Began) {
+  Impl_->onCheckResult(Now, Upstream, Result, Began);
 }
-void PacketBalancer::warned(MonoTime Now, const UpstreamWarning &M) {
-  Impl_->warned(Now, M);
+void PacketBalancer::onPeerWarning(MonoTime Now, const UpstreamWarning &M) {
+  Impl_->onPeerWarning(Now, M);
 }
-void PacketBalancer::confirm(MonoTime AsOf) { Impl_->confirm(AsOf); }
+void PacketBalancer::confirmUpTo(MonoTime AsOf) { Impl_->confirmUpTo(AsOf); }
 void PacketBalancer::setServing(bool Serving) { Impl_->setServing(Serving); }
 void PacketBalancer::setFleetSize(std::size_t Balancers) {
   Impl_->setFleetSize(Balancers);
 }
-void PacketBalancer::arrived(MonoTime At) { Impl_->arrived(At); }
+void PacketBalancer::onBalancerJoined(MonoTime At) {
+  Impl_->onBalancerJoined(At);
+}
 void PacketBalancer::tick(MonoTime Now) { Impl_->tick(Now); }
 void PacketBalancer::setFleet(FleetView View) {
   Impl_->setFleet(std::move(View));
 }
-bool PacketBalancer::limitsCold() const { return Impl_->limitsCold(); }
-void PacketBalancer::setLimits(Micros ResetWhenKnown, Micros FlowLimit,
-                               double ColdOver, double ColdSlack) {
-  Impl_->setLimits(ResetWhenKnown, FlowLimit, ColdOver, ColdSlack);
+bool PacketBalancer::hasColdLimits() const { return Impl_->hasColdLimits(); }
+void PacketBalancer::setLimits(Micros MaxStalenessForReset, Micros MaxFlowAge,
+                               double ColdBurstFactor,
+                               double ColdBurstAllowance) {
+  Impl_->setLimits(MaxStalenessForReset, MaxFlowAge, ColdBurstFactor,
+                   ColdBurstAllowance);
+}
+Micros PacketBalancer::openingTimeout() const {
+  return Impl_->openingTimeout();
 }
-Micros PacketBalancer::openingWait() const { return Impl_->openingWait(); }
 bool PacketBalancer::ready() const { return Impl_->ready(); }
 const PacketCounters &PacketBalancer::counters() const {
   return Impl_->counters();
@@ -356,16 +359,18 @@
   Options_.OnDecision_ = std::move(Value);
   return *this;
 }
-PacketBalancerBuilder &PacketBalancerBuilder::onBelief(BeliefHook Value) {
-  Options_.OnBelief_ = std::move(Value);
+PacketBalancerBuilder &
+PacketBalancerBuilder::onUpstreamEvent(UpstreamEventHook Value) {
+  Options_.OnUpstreamEvent_ = std::move(Value);
   return *this;
 }
-PacketBalancerBuilder &PacketBalancerBuilder::resetWhenKnown(Micros Value) {
-  Options_.ResetWhenKnown_ = Value;
+PacketBalancerBuilder &
+PacketBalancerBuilder::maxStalenessForReset(Micros Value) {
+  Options_.MaxStalenessForReset_ = Value;
   return *this;
 }
-PacketBalancerBuilder &PacketBalancerBuilder::flowLimit(Micros Value) {
-  Options_.FlowLimit_ = Value;
+PacketBalancerBuilder &PacketBalancerBuilder::maxFlowAge(Micros Value) {
+  Options_.MaxFlowAge_ = Value;
   return *this;
 }
 PacketBalancerBuilder &PacketBalancerBuilder::onDelay(PacketDelayHook Value) {
@@ -384,10 +389,10 @@
   Options_.OnWarning_ = std::move(Value);
   return *this;
 }
-PacketBalancerBuilder &PacketBalancerBuilder::coldOver(double Times,
-                                                       double Slack) {
-  Options_.Cold_.Over_ = Times;
-  Options_.Cold_.Slack_ = Slack;
+PacketBalancerBuilder &PacketBalancerBuilder::coldBurst(double Factor,
+                                                        double Allowance) {
+  Options_.Cold_.BurstFactor_ = Factor;
+  Options_.Cold_.BurstAllowance_ = Allowance;
   return *this;
 }
 PacketBalancer PacketBalancerBuilder::build() const {
--- a/src/packet-log.cc
+++ b/src/packet-log.cc
@@ -7,7 +7,7 @@
 
 namespace {
 
-const char *eventOf(Decision::Kind Kind) {
+const char *eventName(Decision::Kind Kind) {
   switch (Kind) {
   case Decision::Kind::Opened:
     return "flow_opened";
@@ -23,126 +23,127 @@
   return "";
 }
 
-const char *eventOf(Belief::Kind Kind) {
+const char *eventName(UpstreamEvent::Kind Kind) {
   switch (Kind) {
-  case Belief::Kind::Listed:
+  case UpstreamEvent::Kind::Listed:
     return "upstream_listed";
-  case Belief::Kind::Restarted:
+  case UpstreamEvent::Kind::Restarted:
     return "upstream_restarted";
-  case Belief::Kind::Draining:
+  case UpstreamEvent::Kind::Draining:
     return "upstream_draining";
-  case Belief::Kind::Lapsed:
+  case UpstreamEvent::Kind::Lapsed:
     return "upstream_lapsed";
-  case Belief::Kind::Gone:
+  case UpstreamEvent::Kind::Gone:
     return "upstream_gone";
-  case Belief::Kind::Ejected:
+  case UpstreamEvent::Kind::Ejected:
     return "upstream_ejected";
-  case Belief::Kind::Stalled:
+  case UpstreamEvent::Kind::Stalled:
     return "upstream_stalled";
-  case Belief::Kind::Failing:
+  case UpstreamEvent::Kind::Failing:
     return "upstream_failing";
-  case Belief::Kind::Checked:
+  case UpstreamEvent::Kind::Checked:
     return "upstream_checked";
-  case Belief::Kind::Dead:
+  case UpstreamEvent::Kind::Dead:
     return "upstream_dead";
   }
   return "";
 }
 
-const char *nameOf(IntentAnswer::Outcome Outcome) {
+const char *nameOf(ConfigResponse::Outcome Outcome) {
   switch (Outcome) {
-  case IntentAnswer::Outcome::Done:
+  case ConfigResponse::Outcome::Done:
     return "done";
-  case IntentAnswer::Outcome::Stale:
+  case ConfigResponse::Outcome::Stale:
     return "stale";
-  case IntentAnswer::Outcome::HistoryGone:
+  case ConfigResponse::Outcome::HistoryGone:
     return "history_gone";
-  case IntentAnswer::Outcome::Refused:
+  case ConfigResponse::Outcome::Refused:
     return "refused";
-  case IntentAnswer::Outcome::Failed:
+  case ConfigResponse::Outcome::Failed:
     return "failed";
   }
   return "";
 }
 
-std::int64_t millis(Micros Span) { return Span.count() / 1000; }
+std::int64_t millis(Micros Duration) { return Duration.count() / 1000; }
 
 } // namespace
 
-std::string formatIncarnation(Incarnation Which) {
+std::string formatIncarnation(Incarnation Id) {
   char Text[17];
   std::snprintf(Text, sizeof Text, "%llx",
-                static_cast<unsigned long long>(raw(Which)));
+                static_cast<unsigned long long>(raw(Id)));
   return Text;
 }
 
-void logDecisionOn(const Decision &D) {
+void logPacketDecision(const Decision &D) {
   LogFields Fields = {{"caller", formatEndpoint(D.Caller_)},
                       {"address", formatEndpoint(D.Service_)}};
   if (D.Kind_ == Decision::Kind::Refused) {
-    const ErrorRow &Row = errorRow(D.Why_);
+    const ErrorRow &Row = errorRow(D.Error_);
     Fields.emplace_back("reason", Row.Name_);
-    Fields.emplace_back("answer",
-                        Row.Answer_ == Answer::Reset ? "reset" : "none");
+    Fields.emplace_back(
+        "answer", Row.Response_ == ErrorResponse::Reset ? "reset" : "none");
   } else {
     Fields.emplace_back("upstream", formatIncarnation(D.Upstream_));
   }
   if (D.Candidates_ != 0)
     Fields.emplace_back("candidates", D.Candidates_);
   Fields.emplace_back("routing_version", D.RoutingVersion_);
-  if (D.Known_)
+  if (D.HasConfirmation_)
     Fields.emplace_back("knowledge_age_ms", millis(D.KnowledgeAge_));
-  logDecision(eventOf(D.Kind_), Fields);
+  logRateLimited(eventName(D.Kind_), Fields);
 }
 
-void logBelief(const Belief &B) {
-  LogFields Fields = {{"upstream", formatIncarnation(B.Upstream_)},
-                      {"address", formatEndpoint(B.At_)},
-                      {"revision", B.Revision_}};
-  bool Judged =
-      B.Kind_ == Belief::Kind::Stalled || B.Kind_ == Belief::Kind::Failing;
-  if (Judged) {
-    Fields.emplace_back(B.Kind_ == Belief::Kind::Stalled ? "unanswered"
-                                                         : "short_answers",
-                        B.Evidence_);
-    Fields.emplace_back("needed", B.Needed_);
+void logUpstreamEvent(const UpstreamEvent &Event) {
+  LogFields Fields = {{"upstream", formatIncarnation(Event.Upstream_)},
+                      {"address", formatEndpoint(Event.Address_)},
+                      {"revision", Event.Revision_}};
+  bool HasEvidence = Event.Kind_ == UpstreamEvent::Kind::Stalled ||
+                     Event.Kind_ == UpstreamEvent::Kind::Failing;
+  if (HasEvidence) {
+    Fields.emplace_back(Event.Kind_ == UpstreamEvent::Kind::Stalled
+                            ? "unanswered"
+                            : "short_answers",
+                        Event.Evidence_);
+    Fields.emplace_back("needed", Event.Needed_);
   }
-  logDecision(eventOf(B.Kind_), Fields);
+  logRateLimited(eventName(Event.Kind_), Fields);
 }
 
 void logReset(const ResetFlow &R) {
-  logDecision("flow_reset", {{"caller", formatEndpoint(R.Caller_)},
-                             {"address", formatEndpoint(R.Service_)},
-                             {"reason", errorRow(R.Why_).Name_}});
+  logRateLimited("flow_reset", {{"caller", formatEndpoint(R.Caller_)},
+                                {"address", formatEndpoint(R.Service_)},
+                                {"reason", errorRow(R.Error_).Name_}});
 }
 
 void logEvacuation(const EvacuationChange &Change) {
-  logDecision(Change.Evacuated_ ? "data_hall_evacuated"
-                                : "data_hall_taken_back",
-              {{"data_hall", Change.DataHall_}, {"revision", Change.At_}});
+  logRateLimited(
+      Change.Evacuated_ ? "data_hall_evacuated" : "data_hall_taken_back",
+      {{"data_hall", Change.DataHall_}, {"revision", Change.Revision_}});
 }
 
-void logUpstreams(const std::vector<UpstreamChange> &Changes,
-                  Revision Through) {
+void logUpstreamSummary(const std::vector<UpstreamChange> &Changes,
+                        Revision Through) {
   auto Listed = std::count_if(
       Changes.begin(), Changes.end(),
       [](const UpstreamChange &C) { return C.Entry_ && !C.Ended_; });
-  logDecision("upstreams_told", {{"listed", Listed},
-                                 {"ended", Changes.size() - Listed},
-                                 {"revision", Through}});
+  logRateLimited("upstreams_told", {{"listed", Listed},
+                                    {"ended", Changes.size() - Listed},
+                                    {"revision", Through}});
 }
 
 void logRouting(const RoutingTable &Table) {
-  logDecision("routing_in_force", {{"version", Table.Version_},
-                                   {"addresses", Table.Addresses_.size()}});
+  logRateLimited("routing_in_force", {{"version", Table.Version_},
+                                      {"addresses", Table.Addresses_.size()}});
 }
 
-void ServiceLog::answered(MonoTime Now, const IntentAnswer &Answer) {
-  bool Served = Answer.Outcome_ == IntentAnswer::Outcome::Done ||
-                Answer.Outcome_ == IntentAnswer::Outcome::Stale ||
-                Answer.Outcome_ == IntentAnswer::Outcome::HistoryGone;
-  if (Answer.Outcome_ == IntentAnswer::Outcome::HistoryGone)
-    logDecision("history_gone", {});
+void ConfigServiceLog::answered(MonoTime Now, const ConfigResponse &Response) {
+  bool Served = Response.Outcome_ == ConfigResponse::Outcome::Done ||
+                Response.Outcome_ == ConfigResponse::Outcome::Stale ||
+                Response.Outcome_ == ConfigResponse::Outcome::HistoryGone;
+  if (Response.Outcome_ == ConfigResponse::Outcome::HistoryGone)
+    logRateLimited("history_gone", {});
   if (Served == !failing())
     return;
   if (Served) {
@@ -151,12 +152,13 @@
     FailedAt_ = MonoTime{};
     return;
   }
-  Write_("configuration_service_call_failed",
-         {{"outcome", nameOf(Answer.Outcome_)}, {"reason", Answer.Reason_}});
+  Write_(
+      "configuration_service_call_failed",
+      {{"outcome", nameOf(Response.Outcome_)}, {"reason", Response.Reason_}});
   FailedAt_ = Now;
 }
 
-void ServiceLog::confirmed(MonoTime AsOf) {
+void ConfigServiceLog::confirmed(MonoTime AsOf) {
   if (!failing() || AsOf <= FailedAt_)
     return;
   Write_("configuration_service_read_by_peer",
--- a/src/packet-pages.h
+++ b/src/packet-pages.h
@@ -5,13 +5,13 @@
 
 #include "peer-traffic.h"
 #include "process-pages.h"
+#include "thymewall/gossip.h"
 #include "thymewall/metrics.h"
-#include "thymewall/news.h"
 #include "thymewall/packet-balancer.h"
 
 namespace thymewall::detail {
 
-/// Everything that the pages show.
+/// Data for the pages.
 struct PacketReport {
   std::string Name_;
   bool Ready_ = false;
@@ -19,20 +19,22 @@
   MonoTime Now_{};
   PacketStatus Status_;
   PacketCounters Counters_;
-  NewsCounters News_;
+  GossipCounters Gossip_;
   PeerTraffic Traffic_;
-  std::vector<PeerStatus> Peers_;
+  std::vector<MemberStatus> Peers_;
   RoutingTablePtr Routing_;
   std::uint64_t Malformed_ = 0;
   std::uint64_t ServiceCalls_ = 0;
   std::uint64_t ServiceFailures_ = 0;
   std::uint64_t RefusedItems_ = 0;
   std::uint64_t LogLinesDropped_ = 0;
-  bool Reads_ = false; ///< Reads the configuration service for the fleet.
+  /// Whether this balancer reads the configuration service for the fleet.
+  bool ReadsForFleet_ = false;
   const DelayMetrics *Delays_ = nullptr;
 };
 
-/// "/metrics" in Prometheus text format, "/status" and "/histograms" as JSON.
+/// Returns the page at \p Path: "/metrics" in Prometheus text format, "/status"
+/// and "/histograms" as JSON.
 HttpPage packetPage(const PacketReport &R, const std::string &Path);
 
 } // namespace thymewall::detail
--- a/src/packet-settings.cc
+++ b/src/packet-settings.cc
@@ -8,24 +8,25 @@
 
 namespace {
 
-/// Bounds of times in settings: more than a day is a mistake in the unit.
-constexpr std::int64_t DayMs = 86'400'000;
+/// One day; a longer time is probably given in the wrong unit.
+constexpr std::int64_t MaxTimeMs = 86'400'000;
 
-/// Bounds of what a cold upstream may get: more is a mistake in writing.
-constexpr double MostColdOver = 100;
-constexpr double MostColdSlack = 100'000;
+/// Upper bounds that catch typing errors.
+constexpr double MaxColdOver = 100;
+constexpr double MaxColdSlack = 100'000;
 
 Micros readMs(detail::ObjectReader &Reader, const char *Key) {
-  return std::chrono::milliseconds(Reader.integer(Key, 1, DayMs));
+  return std::chrono::milliseconds(Reader.integer(Key, 1, MaxTimeMs));
 }
 
 } // namespace
 
 bool operator==(const PacketSettings &A, const PacketSettings &B) {
   auto Fields = [](const PacketSettings &S) {
-    return std::tie(S.Name_, S.DataHall_, S.Packets_, S.Readiness_, S.Control_,
-                    S.AdvertisedControl_, S.Configuration_, S.MetricsPort_,
-                    S.Seeds_, S.RoutingWithin_, S.StopWithin_, S.FlowLimit_,
+    return std::tie(S.Name_, S.DataHall_, S.PacketAddress_, S.ReadinessAddress_,
+                    S.ControlAddress_, S.AdvertisedControlAddress_,
+                    S.ConfigServiceAddress_, S.MetricsPort_, S.Seeds_,
+                    S.MaxRoutingDelay_, S.StopTimeout_, S.MaxFlowAge_,
                     S.ColdOver_, S.ColdSlack_);
   };
   return Fields(A) == Fields(B);
@@ -41,43 +42,44 @@
   PacketSettings S;
   S.Name_ = Reader.string("name");
   S.DataHall_ = Reader.string("data_hall");
-  S.Packets_ = Reader.endpoint("packets");
-  S.Readiness_ = Reader.endpoint("readiness");
-  S.Control_ = Reader.endpoint("control");
-  S.AdvertisedControl_ = Reader.has("advertised_control")
-                             ? Reader.endpoint("advertised_control")
-                             : S.Control_;
-  S.Configuration_ = Reader.endpoint("configuration");
+  S.PacketAddress_ = Reader.endpoint("packets");
+  S.ReadinessAddress_ = Reader.endpoint("readiness");
+  S.ControlAddress_ = Reader.endpoint("control");
+  S.AdvertisedControlAddress_ = Reader.has("advertised_control")
+                                    ? Reader.endpoint("advertised_control")
+                                    : S.ControlAddress_;
+  S.ConfigServiceAddress_ = Reader.endpoint("configuration");
   S.MetricsPort_ =
       static_cast<std::uint16_t>(Reader.integer("metrics_port", 1, 65535));
   S.Seeds_ = detail::readEndpoints(Reader, "seeds", true, Found);
-  S.RoutingWithin_ = readMs(Reader, "routing_within_ms");
-  S.StopWithin_ = readMs(Reader, "stop_within_ms");
-  S.FlowLimit_ = readMs(Reader, "flow_limit_ms");
-  S.ColdOver_ = Reader.numberOr("cold_over", 1, 0, MostColdOver);
-  S.ColdSlack_ = Reader.numberOr("cold_slack", 0, 0, MostColdSlack);
+  S.MaxRoutingDelay_ = readMs(Reader, "routing_within_ms");
+  S.StopTimeout_ = readMs(Reader, "stop_within_ms");
+  S.MaxFlowAge_ = readMs(Reader, "flow_limit_ms");
+  S.ColdOver_ = Reader.numberOr("cold_over", 1, 0, MaxColdOver);
+  S.ColdSlack_ = Reader.numberOr("cold_slack", 0, 0, MaxColdSlack);
   Reader.finish();
   if (!Found.empty())
     return boost::leaf::new_error(Found.all());
   return S;
 }
 
-std::vector<std::string> needRestart(const PacketSettings &Running,
-                                     const PacketSettings &Wanted) {
+std::vector<std::string> keysNeedingRestart(const PacketSettings &Running,
+                                            const PacketSettings &Changed) {
   std::vector<std::string> Keys;
   auto Compare = [&](const char *Key, bool Same) {
     if (!Same)
       Keys.emplace_back(Key);
   };
-  Compare("name", Running.Name_ == Wanted.Name_);
-  Compare("data_hall", Running.DataHall_ == Wanted.DataHall_);
-  Compare("packets", Running.Packets_ == Wanted.Packets_);
-  Compare("readiness", Running.Readiness_ == Wanted.Readiness_);
-  Compare("control", Running.Control_ == Wanted.Control_);
-  Compare("advertised_control",
-          Running.AdvertisedControl_ == Wanted.AdvertisedControl_);
-  Compare("configuration", Running.Configuration_ == Wanted.Configuration_);
-  Compare("metrics_port", Running.MetricsPort_ == Wanted.MetricsPort_);
+  Compare("name", Running.Name_ == Changed.Name_);
+  Compare("data_hall", Running.DataHall_ == Changed.DataHall_);
+  Compare("packets", Running.PacketAddress_ == Changed.PacketAddress_);
+  Compare("readiness", Running.ReadinessAddress_ == Changed.ReadinessAddress_);
+  Compare("control", Running.ControlAddress_ == Changed.ControlAddress_);
+  Compare("advertised_control", Running.AdvertisedControlAddress_ ==
+                                    Changed.AdvertisedControlAddress_);
+  Compare("configuration",
+          Running.ConfigServiceAddress_ == Changed.ConfigServiceAddress_);
+  Compare("metrics_port", Running.MetricsPort_ == Changed.MetricsPort_);
   return Keys;
 }
 
--- a/src/route.cc
+++ b/src/route.cc
@@ -9,107 +9,108 @@
 
 bool operator==(const Route &A, const Route &B) {
   auto Fields = [](const Route &R) {
-    return std::tie(R.Service_, R.Flow_, R.Upstream_, R.UpstreamAt_,
-                    R.UpstreamIncarnation_, R.Placed_, R.HomeAt_, R.Home_,
-                    R.Epoch_);
+    return std::tie(R.Service_, R.Flow_, R.Upstream_, R.UpstreamAddress_,
+                    R.UpstreamIncarnation_, R.PlacedVersion_, R.HomeAddress_,
+                    R.HomeIncarnation_, R.Epoch_);
   };
   return Fields(A) == Fields(B);
 }
 
 namespace {
 
-constexpr std::uint8_t Layout = 1;
+constexpr std::uint8_t LayoutVersion = 1;
 constexpr std::size_t TagSize = crypto_shorthash_siphash24_BYTES;
 constexpr std::size_t BodySize = 1 + 4 + 18 + 8 + 8 + 18 + 8 + 4;
 constexpr std::size_t RouteSize = BodySize + TagSize;
-constexpr std::size_t NameSize = 4 + 8;
-static_assert(RouteSize <= MaxRoute);
+constexpr std::size_t IdsSize = 4 + 8;
+static_assert(RouteSize <= MaxRouteSize);
 static_assert(crypto_shorthash_siphash24_KEYBYTES == sizeof(SecretKey));
 
-/// Big-endian cursor over a fixed layout, for both directions.
+/// Reads or writes big-endian fields in sequence.
 template <typename Byte> class Cursor {
 public:
-  explicit Cursor(Byte *At) : At_(At) {}
+  explicit Cursor(Byte *Position) : Position_(Position) {}
   template <typename T> void put(T Value) {
     for (std::size_t I = sizeof(T); I-- > 0;)
-      *At_++ = static_cast<std::uint8_t>(Value >> (8 * I));
+      *Position_++ = static_cast<std::uint8_t>(Value >> (8 * I));
   }
-  void put(const Endpoint &Where) {
-    std::memcpy(At_, Where.Address_.data(), Where.Address_.size());
-    At_ += Where.Address_.size();
-    put(Where.Port_);
+  void put(const Endpoint &Value) {
+    std::memcpy(Position_, Value.Ip_.data(), Value.Ip_.size());
+    Position_ += Value.Ip_.size();
+    put(Value.Port_);
   }
   template <typename T> T get() {
     T Value = 0;
     for (std::size_t I = 0; I < sizeof(T); ++I)
-      Value = static_cast<T>((Value << 8) | *At_++);
+      Value = static_cast<T>((Value << 8) | *Position_++);
     return Value;
   }
   Endpoint getEndpoint() {
-    Endpoint Where;
-    std::memcpy(Where.Address_.data(), At_, Where.Address_.size());
-    At_ += Where.Address_.size();
-    Where.Port_ = get<std::uint16_t>();
-    return Where;
+    Endpoint Value;
+    std::memcpy(Value.Ip_.data(), Position_, Value.Ip_.size());
+    Position_ += Value.Ip_.size();
+    Value.Port_ = get<std::uint16_t>();
+    return Value;
   }
 
 private:
-  Byte *At_;
+  Byte *Position_;
 };
 
-/// The tag covers the body, the service and the flow; the last two are known
-/// to every reader and so need not travel.
+/// Computes the tag over the body, the service and the flow. The service and
+/// the flow are not part of the route; every reader knows them.
 void makeTag(const std::uint8_t *Body, ServiceId Service, FlowId Flow,
              const SecretKey &Secret, std::uint8_t *Tag) {
-  std::uint8_t Whole[BodySize + NameSize];
-  std::memcpy(Whole, Body, BodySize);
-  Cursor<std::uint8_t> Name(Whole + BodySize);
-  Name.put(raw(Service));
-  Name.put(raw(Flow));
-  crypto_shorthash_siphash24(Tag, Whole, sizeof Whole, Secret.data());
+  std::uint8_t Input[BodySize + IdsSize];
+  std::memcpy(Input, Body, BodySize);
+  Cursor<std::uint8_t> Ids(Input + BodySize);
+  Ids.put(raw(Service));
+  Ids.put(raw(Flow));
+  crypto_shorthash_siphash24(Tag, Input, sizeof Input, Secret.data());
 }
 
 } // namespace
 
-SealedRoute seal(const Route &R, const SecretKey &Secret) {
-  SealedRoute Sealed;
-  Cursor<std::uint8_t> C(Sealed.Bytes_.data());
-  C.put(Layout);
+SignedRoute signRoute(const Route &R, const SecretKey &Secret) {
+  SignedRoute Signed;
+  Cursor<std::uint8_t> C(Signed.Bytes_.data());
+  C.put(LayoutVersion);
   C.put(raw(R.Upstream_));
-  C.put(R.UpstreamAt_);
+  C.put(R.UpstreamAddress_);
   C.put(raw(R.UpstreamIncarnation_));
-  C.put(R.Placed_);
-  C.put(R.HomeAt_);
-  C.put(raw(R.Home_));
+  C.put(R.PlacedVersion_);
+  C.put(R.HomeAddress_);
+  C.put(raw(R.HomeIncarnation_));
   C.put(R.Epoch_);
-  makeTag(Sealed.Bytes_.data(), R.Service_, R.Flow_, Secret,
-          Sealed.Bytes_.data() + BodySize);
-  Sealed.Size_ = RouteSize;
-  return Sealed;
+  makeTag(Signed.Bytes_.data(), R.Service_, R.Flow_, Secret,
+          Signed.Bytes_.data() + BodySize);
+  Signed.Size_ = RouteSize;
+  return Signed;
 }
 
-ErrorKind open(Bytes Sealed, const KeyPair &Keys, ServiceId Service,
-               FlowId Flow, Route &R) {
-  if (Sealed.Size_ != RouteSize || Sealed.Data_[0] != Layout)
+ErrorKind verifyRoute(Bytes Signed, const KeyPair &Keys, ServiceId Service,
+                      FlowId Flow, Route &R) {
+  if (Signed.Size_ != RouteSize || Signed.Data_[0] != LayoutVersion)
     return ErrorKind::ForgedRoute;
-  bool Known = false;
+  bool TagMatches = false;
   for (const SecretKey &Secret : Keys) {
     std::uint8_t Tag[TagSize];
-    makeTag(Sealed.Data_, Service, Flow, Secret, Tag);
-    Known = Known || sodium_memcmp(Tag, Sealed.Data_ + BodySize, TagSize) == 0;
+    makeTag(Signed.Data_, Service, Flow, Secret, Tag);
+    TagMatches =
+        TagMatches || sodium_memcmp(Tag, Signed.Data_ + BodySize, TagSize) == 0;
   }
-  if (!Known && detail::has(detail::Mechanism::RouteTag))
+  if (!TagMatches && detail::isEnabled(detail::Mechanism::RouteTag))
     return ErrorKind::ForgedRoute;
-  Cursor<const std::uint8_t> C(Sealed.Data_);
+  Cursor<const std::uint8_t> C(Signed.Data_);
   C.get<std::uint8_t>();
   R.Service_ = Service;
   R.Flow_ = Flow;
   R.Upstream_ = static_cast<UpstreamId>(C.get<std::uint32_t>());
-  R.UpstreamAt_ = C.getEndpoint();
+  R.UpstreamAddress_ = C.getEndpoint();
   R.UpstreamIncarnation_ = static_cast<Incarnation>(C.get<std::uint64_t>());
-  R.Placed_ = C.get<std::uint64_t>();
-  R.HomeAt_ = C.getEndpoint();
-  R.Home_ = static_cast<Incarnation>(C.get<std::uint64_t>());
+  R.PlacedVersion_ = C.get<std::uint64_t>();
+  R.HomeAddress_ = C.getEndpoint();
+  R.HomeIncarnation_ = static_cast<Incarnation>(C.get<std::uint64_t>());
   R.Epoch_ = C.get<std::uint32_t>();
   return ErrorKind::None;
 }
--- a/src/status-page.cc
+++ b/src/status-page.cc
@@ -7,39 +7,41 @@
 namespace {
 
 using Json = nlohmann::json;
-using Number = std::pair<std::string, std::uint64_t>;
+using NamedValue = std::pair<std::string, std::uint64_t>;
 
-/// Every counter with its name, once, for both renderings.
-std::vector<Number> numbers(const StatusReport &R) {
+/// Returns all counters by name, for both the JSON and the metrics page.
+std::vector<NamedValue> counterValues(const StatusReport &R) {
   const Counters &C = R.Counters_;
   static const char *const StepNames[] = {"route", "home", "passed", "refused"};
-  std::vector<Number> Result = {{"flows", R.Status_.Flows_},
-                                {"requests_in_progress", R.Status_.Requests_},
-                                {"passes_in_progress", R.Status_.Passes_},
-                                {"table_bytes", R.Status_.MemoryBytes_},
-                                {"opens", C.Opens_},
-                                {"opened", C.Opened_},
-                                {"requests", C.Requests_},
-                                {"answered", C.Answered_},
-                                {"refused_not_run", C.NotRun_},
-                                {"outcome_unknown", C.OutcomeUnknown_},
-                                {"open_retries", C.Retries_},
-                                {"rehomed", C.Rehomed_},
-                                {"moved", C.Moved_},
-                                {"adopted", C.Adopted_},
-                                {"late_wakes", C.LateWakes_}};
-  for (std::size_t I = 0; I < C.Steps_.size(); ++I)
+  std::vector<NamedValue> Result = {
+      {"flows", R.Status_.Flows_},
+      {"requests_in_progress", R.Status_.Requests_},
+      {"passes_in_progress", R.Status_.PendingForwards_},
+      {"table_bytes", R.Status_.MemoryBytes_},
+      {"opens", C.Opens_},
+      {"opened", C.Opened_},
+      {"requests", C.Requests_},
+      {"answered", C.Answered_},
+      {"refused_not_run", C.NotRun_},
+      {"outcome_unknown", C.OutcomeUnknown_},
+      {"open_retries", C.Retries_},
+      {"rehomed", C.Rehomed_},
+      {"moved", C.Moved_},
+      {"adopted", C.Adopted_},
+      {"late_wakes", C.LateWakes_}};
+  for (std::size_t I = 0; I < C.ResolvedBy_.size(); ++I)
     Result.emplace_back(std::string("resolved_by_") + StepNames[I],
-                        C.Steps_[I]);
+                        C.ResolvedBy_[I]);
   for (std::size_t I = 1; I < C.Errors_.size(); ++I)
     Result.emplace_back(
         "error_" + std::string(errorRow(static_cast<ErrorKind>(I)).Name_),
         C.Errors_[I]);
-  Result.insert(Result.end(), R.Numbers_.begin(), R.Numbers_.end());
+  Result.insert(Result.end(), R.ProcessCounters_.begin(),
+                R.ProcessCounters_.end());
   return Result;
 }
 
-std::string nameOf(const StatusReport &R, UpstreamId Id) {
+std::string upstreamName(const StatusReport &R, UpstreamId Id) {
   if (R.Declaration_)
     for (const Upstream &U : R.Declaration_->Upstreams_)
       if (U.Id_ == Id)
@@ -52,33 +54,34 @@
 std::string statusJson(const StatusReport &R) {
   Json Upstreams = Json::array();
   for (const UpstreamRow &U : R.Status_.Upstreams_)
-    Upstreams.push_back({{"name", nameOf(R, U.Id_)},
-                         {"address", formatEndpoint(U.At_)},
+    Upstreams.push_back({{"name", upstreamName(R, U.Id_)},
+                         {"address", formatEndpoint(U.Address_)},
                          {"own_flows", U.OwnFlows_},
                          {"in_flight", U.InFlight_},
                          {"reported_flows", U.ReportedFlows_},
                          {"declared", U.Declared_},
                          {"leaving", U.Leaving_},
                          {"ejected", U.EjectedUntil_ > R.Status_.Now_},
-                         {"failures", U.Failures_}});
-  Json Numbers = Json::object();
-  for (const Number &N : numbers(R))
-    Numbers[N.first] = N.second;
+                         {"failures", U.ConsecutiveFailures_}});
+  Json Values = Json::object();
+  for (const NamedValue &N : counterValues(R))
+    Values[N.first] = N.second;
   Json Page = {{"name", R.Name_},
-               {"version", R.Status_.InForce_},
+               {"version", R.Status_.DeclarationVersion_},
                {"digest", R.Status_.Digest_},
                {"ready", R.Status_.Ready_},
                {"stopping", R.Status_.Stopping_},
-               {"counters", std::move(Numbers)},
+               {"counters", std::move(Values)},
                {"upstreams", std::move(Upstreams)}};
   return Page.dump();
 }
 
 std::string metricsText(const StatusReport &R) {
   std::string Text;
-  for (const Number &N : numbers(R))
+  for (const NamedValue &N : counterValues(R))
     Text += metricLine(N.first, static_cast<std::int64_t>(N.second));
-  Text += metricLine("version", static_cast<std::int64_t>(R.Status_.InForce_));
+  Text += metricLine("version",
+                     static_cast<std::int64_t>(R.Status_.DeclarationVersion_));
   return Text + R.Delays_->prometheus("thymewall_delay_seconds");
 }
 
--- a/src/upstream-checker.h
+++ b/src/upstream-checker.h
@@ -1,5 +1,5 @@
 /// \file
-/// Proves that an upstream lives, or not: TCP connections to its address.
+/// Liveness checks of upstreams by TCP connections to their addresses.
 #ifndef THYMEWALL_SRC_UPSTREAM_CHECKER_H
 #define THYMEWALL_SRC_UPSTREAM_CHECKER_H
 
@@ -10,22 +10,23 @@
 namespace thymewall::detail {
 
 struct CheckerHooks {
-  std::function<void(Incarnation Upstream, CheckResult Result, MonoTime Began)>
+  std::function<void(Incarnation Upstream, CheckResult Result,
+                     MonoTime StartedAt)>
       OnResult_;
-  /// A try begins: peers are asked, too. Gives the time of the question.
-  std::function<MonoTime()> AskPeers_;
-  /// Whether that question was answered in time, so that silence proves
-  /// something.
-  std::function<bool(MonoTime AskedAt)> PeersAnswered_;
+  /// Probes peers at the start of an attempt. Returns the time of the probe.
+  std::function<MonoTime()> ProbePeers_;
+  /// Returns whether a peer answered that probe in time, so that a timeout of
+  /// the upstream counts.
+  std::function<bool(MonoTime ProbedAt)> ProbeAnswered_;
 };
 
 class UpstreamChecker {
 public:
   UpstreamChecker(asio::io_context &Context, CheckerHooks Hooks);
 
-  /// Tries to connect, and again as long as silence is no proof. Nothing is
-  /// sent.
-  void check(const UpstreamCheck &Wanted);
+  /// Tries to connect, again after timeouts until `CheckAttempts` decides.
+  /// Sends no data. `OnResult_` gets the result.
+  void check(const UpstreamCheck &Request);
 
 private:
   asio::io_context &Context_;
--- a/test/allocation-test.cc
+++ b/test/allocation-test.cc
@@ -1,6 +1,6 @@
-// The data path of a request balancer allocates nothing: counts every
-// allocation of this program.
-#include "balancer-bench.h"
+// Guards against allocations in the request balancer's data path, by counting
+// calls of operator new.
+#include "balancer-harness.h"
 
 #include <cstdlib>
 #include <new>
@@ -23,14 +23,14 @@
 void operator delete(void *Memory) noexcept { std::free(Memory); }
 void operator delete(void *Memory, std::size_t) noexcept { std::free(Memory); }
 
-TEST_CASE("the data path allocates nothing in steady state") {
-  Bench B;
+TEST_CASE("data path does not allocate in steady state") {
+  BalancerHarness B;
   B.openFlow();
   auto Round = [&](std::uint32_t From, std::uint32_t To) {
     for (std::uint32_t I = From; I < To; ++I) {
       B.fromCaller(B.request(I, I % 2 == 0));
-      B.reply(Kind::Answer);
-      B.pass(Balancer::TickEvery);
+      B.reply(MessageKind::Answer);
+      B.advance(Balancer::TickInterval);
     }
   };
   Round(1, 200);
--- a/test/ended-answers-test.cc
+++ b/test/ended-answers-test.cc
@@ -1,5 +1,5 @@
-// Which peers a balancer that has just started asks for ended upstreams.
-#include "thymewall/news.h"
+// Checks which peers a starting balancer asks for ended upstreams.
+#include "thymewall/gossip.h"
 
 #include <doctest/doctest.h>
 #include <set>
@@ -11,33 +11,33 @@
 
 MonoTime at(std::chrono::milliseconds Time) { return MonoTime(100s + Time); }
 
-/// An exchange that has just started, with peers that a test speaks for.
-class Newcomer {
+/// A news exchange that has just started, with five simulated peers.
+class StartingBalancer {
 public:
-  Newcomer() : News_({member(0), {}}, hooks()) {
+  StartingBalancer() : Gossip_({member(0), {}}, hooks()) {
     for (std::uint64_t Peer = 1; Peer <= 5; ++Peer)
-      News_.opened(at(0ms), LinkId{Peer}, false);
+      Gossip_.opened(at(0ms), LinkId{Peer}, false);
   }
 
-  /// A heartbeat of a peer that knows of one change more each time.
-  void beat(std::chrono::milliseconds Time, std::uint64_t Peer) {
+  /// Receives a heartbeat of a peer that knows one more change each time.
+  void heartbeat(std::chrono::milliseconds Time, std::uint64_t Peer) {
     PeerHeartbeat M;
     M.Sender_ = member(Peer);
     M.Through_ = ++Published_;
-    News_.received(at(Time), LinkId{Peer}, M);
+    Gossip_.received(at(Time), LinkId{Peer}, M);
   }
 
-  /// A peer's answer to a question.
+  /// Receives a peer's answer to a request.
   void answer(std::chrono::milliseconds Time, std::uint64_t Peer) {
-    News M;
+    StateUpdate M;
     M.Upstreams_.Through_ = Published_;
-    M.Upstreams_.Whole_ = true;
-    News_.received(at(Time), LinkId{Peer}, M);
+    M.Upstreams_.IsSnapshot_ = true;
+    Gossip_.received(at(Time), LinkId{Peer}, M);
   }
 
-  /// Peers that were asked for ended upstreams.
-  std::set<std::uint64_t> AskedEnded_;
-  std::size_t Asked_ = 0; ///< Questions in all.
+  /// Peers that received a request for ended upstreams.
+  std::set<std::uint64_t> AskedForEnded_;
+  std::size_t Requests_ = 0; ///< Number of requests of any kind.
 
 private:
   static Member member(std::uint64_t Which) {
@@ -45,15 +45,15 @@
             Endpoint::v4(static_cast<std::uint32_t>(Which + 1), 8166), 0};
   }
 
-  NewsHooks hooks() {
-    NewsHooks Hooks;
-    Hooks.Send_ = [this](LinkId Link, const NewsMessage &M) {
-      const auto *Wanted = std::get_if<NewsWanted>(&M);
+  GossipHooks hooks() {
+    GossipHooks Hooks;
+    Hooks.Send_ = [this](LinkId Link, const GossipMessage &M) {
+      const auto *Wanted = std::get_if<StateRequest>(&M);
       if (!Wanted)
         return;
-      ++Asked_;
-      if (Wanted->Ended_)
-        AskedEnded_.insert(static_cast<std::uint64_t>(Link));
+      ++Requests_;
+      if (Wanted->IncludeEnded_)
+        AskedForEnded_.insert(static_cast<std::uint64_t>(Link));
     };
     Hooks.Connect_ = [](const Endpoint &) {};
     Hooks.Close_ = [](LinkId) {};
@@ -65,35 +65,35 @@
   }
 
   Revision Published_ = 0;
-  NewsExchange News_;
+  GossipNode Gossip_;
 };
 
 } // namespace
 
-TEST_CASE("three peers are asked for ended upstreams, however much other news "
-          "the first one sends") {
-  Newcomer N;
+TEST_CASE("three peers are asked for ended upstreams even if the first one "
+          "sends a lot of other news") {
+  StartingBalancer N;
   for (auto Time = 0ms; Time < 1000ms; Time += 100ms) {
-    N.beat(Time, 1);
+    N.heartbeat(Time, 1);
     N.answer(Time + 10ms, 1);
   }
-  CHECK(N.Asked_ == 10);
-  CHECK(N.AskedEnded_ == std::set<std::uint64_t>{1});
+  CHECK(N.Requests_ == 10);
+  CHECK(N.AskedForEnded_ == std::set<std::uint64_t>{1});
   for (std::uint64_t Peer = 2; Peer <= 5; ++Peer) {
     auto Time = 1000ms + Peer * 100ms;
-    N.beat(Time, Peer);
+    N.heartbeat(Time, Peer);
     N.answer(Time + 10ms, Peer);
   }
-  CHECK(N.AskedEnded_ == std::set<std::uint64_t>{1, 2, 3});
+  CHECK(N.AskedForEnded_ == std::set<std::uint64_t>{1, 2, 3});
 }
 
-TEST_CASE("a peer that never answered does not count") {
-  Newcomer N;
-  N.beat(0ms, 1); // asked, and silent
+TEST_CASE("a peer that does not answer is not one of the three peers") {
+  StartingBalancer N;
+  N.heartbeat(0ms, 1); // does not answer
   for (std::uint64_t Peer = 2; Peer <= 5; ++Peer) {
     auto Time = 300ms + Peer * 100ms;
-    N.beat(Time, Peer);
+    N.heartbeat(Time, Peer);
     N.answer(Time + 10ms, Peer);
   }
-  CHECK(N.AskedEnded_ == std::set<std::uint64_t>{1, 2, 3, 4});
+  CHECK(N.AskedForEnded_ == std::set<std::uint64_t>{1, 2, 3, 4});
 }
--- a/test/evacuation-test.cc
+++ b/test/evacuation-test.cc
@@ -1,7 +1,7 @@
 /// \file
-/// Which data halls are evacuated, whatever order and age the news of it has;
-/// and how a fleet learns of it beside other trouble, on virtual time.
-#include "news-fleet.h"
+/// Evacuations are applied correctly in any order and at any age of updates,
+/// and reach a whole fleet on virtual time despite faults.
+#include "gossip-fleet.h"
 
 #include <doctest/doctest.h>
 #include <rapidcheck.h>
@@ -14,7 +14,6 @@
 
 using Halls = std::set<std::string>;
 
-/// What a list holds.
 Halls hallsOf(const EvacuationList &List) {
   Halls Result;
   for (const EvacuationChange &Change : List.all().Changes_)
@@ -41,18 +40,18 @@
 
 } // namespace
 
-TEST_CASE("a hall is evacuated and taken back, and each is told once") {
+TEST_CASE("each change of an evacuation is applied once") {
   EvacuationList List;
   CHECK(apply(List, changes(5, {{"a", 5, true}})).size() == 1);
   CHECK(List.isEvacuated("a"));
   CHECK_FALSE(List.isEvacuated("b"));
   CHECK(apply(List, changes(5, {{"a", 5, true}})).empty());
-  CHECK(apply(List, changes(6, {{"a", 6, true}})).empty()); // asked for again
+  CHECK(apply(List, changes(6, {{"a", 6, true}})).empty()); // repeated
   CHECK(apply(List, changes(7, {{"a", 7, false}})).size() == 1);
   CHECK_FALSE(List.isEvacuated("a"));
 }
 
-TEST_CASE("changes that come late or twice change nothing") {
+TEST_CASE("late and repeated changes have no effect") {
   EvacuationList List;
   apply(List, changes(7, {{"a", 7, false}, {"b", 6, true}}));
   CHECK(apply(List, changes(0, {{"a", 5, true}})).empty());
@@ -60,7 +59,7 @@
   CHECK(hallsOf(List) == Halls{"b"});
 }
 
-TEST_CASE("evacuated, taken back and evacuated again between two readings") {
+TEST_CASE("several changes of a hall in one batch are applied in order") {
   EvacuationList List;
   apply(List, whole(10, {{"a", 4, true}}));
   apply(List, changes(12, {{"a", 11, false}, {"a", 12, true}}));
@@ -69,32 +68,31 @@
   CHECK(hallsOf(List).empty());
 }
 
-TEST_CASE("a hall that a whole list lacks was taken back by then") {
+TEST_CASE("a hall missing from a snapshot is not evacuated") {
   EvacuationList List;
   apply(List, whole(10, {{"a", 4, true}, {"b", 8, true}}));
   CHECK(apply(List, whole(9, {{"a", 4, true}})).empty() == false);
   CHECK(hallsOf(List) == Halls{"a"});
   apply(List, changes(12, {{"c", 12, true}}));
-  apply(List, whole(11, {})); // as of before the last one
+  apply(List, whole(11, {})); // before the last one
   CHECK(hallsOf(List) == Halls{"c"});
 }
 
-TEST_CASE("a stale list shows nothing to be absent, and a current one corrects "
-          "it") {
+TEST_CASE("a stale list ends no evacuation, and a current one corrects it") {
   EvacuationList List;
   apply(List, changes(0, {{"a", 4, true}}));
-  CHECK(List.isEvacuated("a")); // as far as is known
+  CHECK(List.isEvacuated("a")); // as far as known
   apply(List, whole(20, {{"b", 15, true}}));
   CHECK(hallsOf(List) == Halls{"b"});
   apply(List, changes(0, {{"a", 4, true}}));
   CHECK(hallsOf(List) == Halls{"b"});
 }
 
-TEST_CASE("whatever whole lists and changes come in whatever order, the latest "
-          "decides") {
+TEST_CASE("the latest revision decides, whatever the order of snapshots and "
+          "changes") {
   rc::check([] {
     const std::vector<std::string> Names = {"a", "b", "c"};
-    std::vector<Halls> Truth(1); // by revision
+    std::vector<Halls> Truth(1); // indexed by revision
     std::vector<EvacuationChange> Log;
     int Changes = *rc::gen::inRange(1, 25);
     for (int I = 0; I < Changes; ++I) {
@@ -113,15 +111,15 @@
     for (int Step = 0; Step < 20; ++Step) {
       auto Through = *rc::gen::inRange<Revision>(0, Log.size() + 1);
       EvacuationBatch Batch{*rc::gen::arbitrary<bool>(), Through, {}};
-      // A watch goes on from what is known; a list stands for itself.
-      if (!Batch.Whole_ && Through >= Known)
+      // A watch continues from the known revision; a list is self-contained.
+      if (!Batch.IsSnapshot_ && Through >= Known)
         Batch.Changes_ = {Log.begin() + static_cast<std::ptrdiff_t>(Known),
                           Log.begin() + static_cast<std::ptrdiff_t>(Through)};
-      if (!Batch.Whole_ && Through < Known)
+      if (!Batch.IsSnapshot_ && Through < Known)
         continue;
       for (const EvacuationChange &Change : Log)
-        if (Batch.Whole_ && Change.At_ <= Through && Change.Evacuated_ &&
-            Truth[Through].count(Change.DataHall_) != 0)
+        if (Batch.IsSnapshot_ && Change.Revision_ <= Through &&
+            Change.Evacuated_ && Truth[Through].count(Change.DataHall_) != 0)
           Batch.Changes_.push_back(Change);
       apply(List, Batch);
       Known = std::max(Known, Through);
@@ -130,9 +128,9 @@
   });
 }
 
-TEST_CASE("on a calm day an evacuation is known everywhere within a second") {
+TEST_CASE("without faults an evacuation reaches all members within a second") {
   for (std::size_t Count : {8U, 90U}) {
-    NewsFleet Fleet(Count);
+    GossipFleet Fleet(Count);
     Fleet.run(30s);
     Fleet.publishEvacuation("hall-1", true);
     Fleet.run(31s);
@@ -149,18 +147,17 @@
   }
 }
 
-TEST_CASE("a start with a stale list hears of an evacuation from the first "
-          "peer") {
+TEST_CASE("a start with a stale list gets evacuations from its first peer") {
   for (std::size_t Count : {8U, 90U}) {
-    NewsFleet Fleet(Count);
-    Fleet.setStaleBy(3s);
+    GossipFleet Fleet(Count);
+    Fleet.setStaleListAge(3s);
     Fleet.run(30s);
     Fleet.publishEvacuation("hall-1", true);
     Fleet.run(31s);
     Fleet.kill(5);
     Fleet.run(31500ms);
     Fleet.restart(5);
-    Fleet.run(31520ms); // links open in 2 ms, each message takes 1 ms
+    Fleet.run(31520ms); // links open in 2 ms, messages take 1 ms
     CHECK(Fleet.evacuated(5) == Halls{"hall-1"});
     Fleet.publishEvacuation("hall-1", false);
     Fleet.run(33s);
@@ -168,13 +165,12 @@
   }
 }
 
-TEST_CASE(
-    "beside restarts, cuts, sleep and a service that is away, evacuations "
-    "are known everywhere within 5 s of calm") {
+TEST_CASE("evacuations reach all members within 5 s after faults end") {
   rc::check([] {
     auto Count = *rc::gen::inRange<std::size_t>(3, 24);
-    NewsFleet Fleet(Count);
-    Fleet.setStaleBy(std::chrono::milliseconds(*rc::gen::inRange(0, 3000)));
+    GossipFleet Fleet(Count);
+    Fleet.setStaleListAge(
+        std::chrono::milliseconds(*rc::gen::inRange(0, 3000)));
     Micros Now = 12s;
     Fleet.run(Now);
     Halls Truth;
@@ -183,14 +179,14 @@
       auto Hall = "hall-" + std::to_string(*rc::gen::inRange(0, 4));
       std::size_t A = Any();
       std::size_t B = Any();
-      int Trouble = *rc::gen::inRange(0, 6);
-      Fleet.setAsleep(A, Trouble == 0);
-      Fleet.setTurnedAway(A, Trouble == 1);
-      Fleet.setSilent(A, Trouble == 2);
-      Fleet.setServiceDown(Trouble == 3);
-      if (Trouble == 4 && A != B)
-        Fleet.setHeldUp(A, B, true);
-      if (Trouble == 5)
+      int Fault = *rc::gen::inRange(0, 6);
+      Fleet.setSuspended(A, Fault == 0);
+      Fleet.setRefused(A, Fault == 1);
+      Fleet.setUnresponsive(A, Fault == 2);
+      Fleet.setServiceDown(Fault == 3);
+      if (Fault == 4 && A != B)
+        Fleet.setBlocked(A, B, true);
+      if (Fault == 5)
         Fleet.kill(A);
       Now += std::chrono::milliseconds(*rc::gen::inRange(0, 1500));
       Fleet.run(Now);
@@ -202,13 +198,13 @@
         Truth.erase(Hall);
       Now += std::chrono::milliseconds(*rc::gen::inRange(0, 1500));
       Fleet.run(Now);
-      Fleet.setAsleep(A, false);
-      Fleet.setTurnedAway(A, false);
-      Fleet.setSilent(A, false);
+      Fleet.setSuspended(A, false);
+      Fleet.setRefused(A, false);
+      Fleet.setUnresponsive(A, false);
       Fleet.setServiceDown(false);
-      if (Trouble == 4 && A != B)
-        Fleet.setHeldUp(A, B, false);
-      if (Trouble == 5)
+      if (Fault == 4 && A != B)
+        Fleet.setBlocked(A, B, false);
+      if (Fault == 5)
         Fleet.restart(A);
     }
     Fleet.run(Now + 5s);
--- a/test/flow-fleet-test.cc
+++ b/test/flow-fleet-test.cc
@@ -1,5 +1,5 @@
 /// \file
-/// Open flows and what a restart of balancers forgets, on virtual time.
+/// Checks that open flows survive restarts of balancers and route changes.
 #include "flow-fleet.h"
 
 #include <doctest/doctest.h>
@@ -26,33 +26,33 @@
     Fleet.run(Gap);
     Fleet.restart(Which);
     Fleet.run(Gap);
-    Fleet.sendAll();
+    Fleet.sendOnAllFlows();
   }
 }
 
-/// A balancer is gone for 0.2 to 1.2 s: time for its peers to close its links.
+/// Downtime of a balancer; long enough for its peers to close the links.
 Micros anyGap() {
   return std::chrono::milliseconds(*rc::gen::inRange(200, 1200));
 }
 
 } // namespace
 
-TEST_CASE("flows opened under an earlier table survive a restart of every "
-          "balancer") {
+TEST_CASE("flows opened under an earlier routing table survive a rolling "
+          "restart of all balancers") {
   FlowFleet Fleet(4);
   openSome(Fleet, 4);
-  REQUIRE(Fleet.flows() == 12);
+  REQUIRE(Fleet.openFlows() == 12);
   Fleet.setRoute(0, {Second});
   restartInTurn(Fleet, 4, 800ms);
-  Fleet.run(FlowFleet::Started);
-  Fleet.sendAll();
-  CHECK(Fleet.delivered() > 0);
-  CHECK(Fleet.lost() == 0);
-  CHECK(Fleet.wrongService() == 0);
+  Fleet.run(FlowFleet::StartupTime);
+  Fleet.sendOnAllFlows();
+  CHECK(Fleet.deliveredPackets() > 0);
+  CHECK(Fleet.lostPackets() == 0);
+  CHECK(Fleet.misroutedOpenings() == 0);
 }
 
-TEST_CASE("and so when all start at once, as long as the upstream is "
-          "published") {
+TEST_CASE("flows opened under an earlier routing table survive a simultaneous "
+          "restart if their upstream is published") {
   FlowFleet Fleet(4);
   openSome(Fleet, 4);
   Fleet.setRoute(0, {Second});
@@ -60,14 +60,14 @@
     Fleet.kill(Which);
   for (std::size_t Which = 0; Which < 4; ++Which)
     Fleet.restart(Which);
-  Fleet.run(FlowFleet::Started);
-  Fleet.sendAll();
-  CHECK(Fleet.delivered() == 4 * Fleet.flows());
-  CHECK(Fleet.lost() == 0);
+  Fleet.run(FlowFleet::StartupTime);
+  Fleet.sendOnAllFlows();
+  CHECK(Fleet.deliveredPackets() == 4 * Fleet.openFlows());
+  CHECK(Fleet.lostPackets() == 0);
 }
 
-TEST_CASE("flows at an upstream that is published no more survive a restart "
-          "of every balancer") {
+TEST_CASE("flows of an unpublished upstream survive a rolling restart of all "
+          "balancers") {
   FlowFleet Fleet(5);
   Incarnation Leaving = Fleet.addUpstream(0);
   Fleet.run(1s);
@@ -78,29 +78,29 @@
   Fleet.unpublish(Leaving);
   Fleet.run(500ms);
   restartInTurn(Fleet, 5, 800ms);
-  Fleet.run(FlowFleet::Started);
-  Fleet.sendAll();
-  CHECK(Fleet.delivered() > 0);
-  CHECK(Fleet.lost() == 0);
+  Fleet.run(FlowFleet::StartupTime);
+  Fleet.sendOnAllFlows();
+  CHECK(Fleet.deliveredPackets() > 0);
+  CHECK(Fleet.lostPackets() == 0);
 }
 
-TEST_CASE("a cookie of another upstream reaches one that refuses it") {
+TEST_CASE("a packet with the cookie of another upstream is rejected there") {
   FlowFleet Fleet(3);
   std::vector<Incarnation> Added = {Fleet.addUpstream(0), Fleet.addUpstream(1)};
   Fleet.run(1s);
   REQUIRE(Fleet.open(0, 0));
   for (Incarnation Other : Added) {
-    std::size_t Before = Fleet.refused();
-    auto Mark = static_cast<Cookie>(raw(Other));
-    if (Mark == Fleet.cookie(0))
+    std::size_t Before = Fleet.refusedPackets();
+    auto FlowCookie = static_cast<Cookie>(raw(Other));
+    if (FlowCookie == Fleet.cookie(0))
       continue;
-    CHECK_FALSE(Fleet.send(1, 0, Mark)); // a reset, and nothing has run
-    CHECK(Fleet.refused() == Before + 1);
+    CHECK_FALSE(Fleet.send(1, 0, FlowCookie)); // rejected, not run
+    CHECK(Fleet.refusedPackets() == Before + 1);
   }
 }
 
-TEST_CASE("whatever order changes and restarts come in, open flows whose "
-          "upstream lives reach it, and no service takes another's") {
+TEST_CASE("in any order of changes and restarts, flows reach their live "
+          "upstream and no service gets flows of another one") {
   rc::check([] {
     auto Balancers = *rc::gen::inRange<std::size_t>(3, 10);
     FlowFleet Fleet(Balancers);
@@ -135,27 +135,27 @@
       case 4:
         restartInTurn(Fleet, Balancers, anyGap());
         break;
-      case 5: { // two members lose contact while another one starts
+      case 5: { // a link is cut while a balancer restarts
         std::size_t A = Any();
         std::size_t B = Any();
         std::size_t C = Any();
         if (A != B)
-          Fleet.news().setHeldUp(A, B, true);
+          Fleet.gossip().setBlocked(A, B, true);
         Fleet.kill(C);
         Fleet.run(anyGap());
         Fleet.restart(C);
-        Fleet.run(FlowFleet::Started);
-        Fleet.sendAll();
+        Fleet.run(FlowFleet::StartupTime);
+        Fleet.sendOnAllFlows();
         if (A != B)
-          Fleet.news().setHeldUp(A, B, false);
+          Fleet.gossip().setBlocked(A, B, false);
         break;
       }
       }
       Fleet.run(700ms);
-      Fleet.sendAll();
+      Fleet.sendOnAllFlows();
     }
-    RC_ASSERT(Fleet.lost() == 0U);
-    RC_ASSERT(Fleet.wrongService() == 0U);
-    RC_ASSERT(Fleet.delivered() > 0U);
+    RC_ASSERT(Fleet.lostPackets() == 0U);
+    RC_ASSERT(Fleet.misroutedOpenings() == 0U);
+    RC_ASSERT(Fleet.deliveredPackets() > 0U);
   });
 }
--- a/test/news-start-test.cc
+++ b/test/gossip-start-test.cc
@@ -1,6 +1,6 @@
-// What starts and outages cost the configuration service, and when a fleet
-// knows what is current.
-#include "news-fleet.h"
+// Load of starts and outages on the configuration service, and the time until a
+// fleet has current state.
+#include "gossip-fleet.h"
 
 #include <doctest/doctest.h>
 
@@ -10,33 +10,33 @@
 
 namespace {
 
-/// Publishes so many upstreams, which stale lists have from the next second on.
-void publishMany(NewsFleet &Fleet, std::uint64_t Count) {
+/// Publishes \p Count upstreams, which stale lists include one second later.
+void publishMany(GossipFleet &Fleet, std::uint64_t Count) {
   for (std::uint64_t I = 1; I <= Count; ++I) {
     UpstreamEntry E;
     E.Incarnation_ = Incarnation{1000 + I};
-    E.At_ = Endpoint::v4(static_cast<std::uint32_t>(1000 + I), 9000);
+    E.Address_ = Endpoint::v4(static_cast<std::uint32_t>(1000 + I), 9000);
     Fleet.publish(E.Incarnation_, E);
   }
-  Fleet.setStaleBy(1s);
+  Fleet.setStaleListAge(1s);
 }
 
-/// A fleet that has lost everything it knew, and starts at 5 s.
-void startAnew(NewsFleet &Fleet) {
+/// Restarts all members at 5 s, without any state.
+void restartAll(GossipFleet &Fleet) {
   publishMany(Fleet, 600);
   for (std::size_t Which = 0; Which < Fleet.size(); ++Which)
     Fleet.kill(Which);
   Fleet.run(5s);
-  Fleet.publish(); // no stale list has it yet
+  Fleet.publish(); // not in stale lists yet
   for (std::size_t Which = 0; Which < Fleet.size(); ++Which)
     Fleet.restart(Which);
 }
 
 } // namespace
 
-TEST_CASE(
-    "a start in a running fleet takes a stale list, and peers tell the rest") {
-  NewsFleet Fleet(90, 5);
+TEST_CASE("a start in a running fleet reads a stale list and gets the rest "
+          "from peers") {
+  GossipFleet Fleet(90, 5);
   publishMany(Fleet, 600);
   Fleet.run(8s);
   std::size_t Reader = Fleet.lastReader();
@@ -53,7 +53,7 @@
     ++Started;
   }
   Fleet.run(14s);
-  // Two a second are the reader's; one or two of the new ones may read on.
+  // The reader makes two a second; one or two new members may read once more.
   CHECK(Fleet.calls() - Before <= 2 * 2 + 4);
   CHECK(Fleet.staleCalls() >= Started);
   Revision R = Fleet.publish();
@@ -62,74 +62,75 @@
 }
 
 TEST_CASE("of a fleet that starts at once, few read more than a stale list") {
-  NewsFleet Fleet(90, 5);
-  startAnew(Fleet);
+  GossipFleet Fleet(90, 5);
+  restartAll(Fleet);
   std::size_t Before = Fleet.calls();
   Fleet.run(5s + 600ms);
   CHECK(Fleet.allKnow(606));
   CHECK(Fleet.calls() - Before <= 45);
   Fleet.run(7s);
-  // The reader's two a second, and some that think for a moment they read.
+  // The reader makes two a second; some members briefly act as readers too.
   CHECK(Fleet.calls() - Before <= 45 + 40);
 }
 
-TEST_CASE("peers hear that a balancer has started or slept, and others not") {
-  std::map<std::size_t, MonoTime> ArrivedAt;
+TEST_CASE("peers are notified of a balancer's start or resumption, and of "
+          "nothing else") {
+  std::map<std::size_t, MonoTime> JoinedAt;
   MemberHooks Hooks;
-  Hooks.OnArrival_ = [&](std::size_t Which, MonoTime At) {
-    ArrivedAt[Which] = At;
+  Hooks.OnPeerJoined_ = [&](std::size_t Which, MonoTime At) {
+    JoinedAt[Which] = At;
   };
-  NewsFleet Fleet(8, 3, Hooks);
+  GossipFleet Fleet(8, 3, Hooks);
   Fleet.run(8s);
-  ArrivedAt.clear();
+  JoinedAt.clear();
   Fleet.run(15s);
-  CHECK(ArrivedAt.empty());
+  CHECK(JoinedAt.empty());
   SUBCASE("a start") {
     Fleet.kill(5);
     Fleet.run(18s);
-    CHECK(ArrivedAt.empty());
+    CHECK(JoinedAt.empty());
     Fleet.restart(5);
   }
-  SUBCASE("a sleep") {
-    Fleet.setAsleep(5, true);
+  SUBCASE("a resumption") {
+    Fleet.setSuspended(5, true);
     Fleet.run(18s);
-    CHECK(ArrivedAt.empty());
-    Fleet.setAsleep(5, false);
+    CHECK(JoinedAt.empty());
+    Fleet.setSuspended(5, false);
   }
   MonoTime At = Fleet.clock();
   Fleet.run(18s + 300ms);
-  CHECK(ArrivedAt.size() >= 3); // the peers of its first links
-  for (const auto &[Which, Heard] : ArrivedAt) {
+  CHECK(JoinedAt.size() >= 3); // the peers of its first links
+  for (const auto &[Which, Time] : JoinedAt) {
     CHECK(Which != 5);
-    CHECK(Heard >= At - 2ms); // ages are whole milliseconds
-    CHECK(Heard <= At + 300ms);
+    CHECK(Time >= At - 2ms); // ages are whole milliseconds
+    CHECK(Time <= At + 300ms);
   }
 }
 
-TEST_CASE("without peers a start knows what is current within 1.1 s") {
-  NewsFleet Fleet(1);
-  startAnew(Fleet);
+TEST_CASE("a start without peers has current state within 1.1 s") {
+  GossipFleet Fleet(1);
+  restartAll(Fleet);
   Fleet.run(5s + 1100ms);
   CHECK(Fleet.allKnow(606));
 }
 
 TEST_CASE("an outage costs a large fleet few calls, and its end is noticed") {
-  for (bool Silent : {true, false}) {
-    NewsFleet Fleet(90, 5);
+  for (bool Unresponsive : {true, false}) {
+    GossipFleet Fleet(90, 5);
     Fleet.run(8s);
     std::size_t Before = Fleet.calls();
-    auto SetAway = [&](bool Away) {
+    auto SetOutage = [&](bool Outage) {
       for (std::size_t Which = 0; Which < Fleet.size(); ++Which)
-        Silent ? Fleet.setSilent(Which, Away)
-               : Fleet.setTurnedAway(Which, Away);
+        Unresponsive ? Fleet.setUnresponsive(Which, Outage)
+                     : Fleet.setRefused(Which, Outage);
     };
-    SetAway(true);
+    SetOutage(true);
     Fleet.run(14s);
-    CAPTURE(Silent);
-    // One each, since none knows that others fail too, and then turns.
+    CAPTURE(Unresponsive);
+    // One each before the failures are known, then the rate of the fleet.
     CHECK(Fleet.calls() - Before <= 2 * Fleet.size());
-    SetAway(false);
-    Fleet.run(14s + 1500ms); // a silent call lasts for a second
+    SetOutage(false);
+    Fleet.run(14s + 1500ms); // a call without a response takes a second
     Revision R = Fleet.publish();
     Fleet.run(17s);
     CHECK(Fleet.allKnow(R));
--- a/test/opening-retries-test.cc
+++ b/test/opening-retries-test.cc
@@ -1,4 +1,4 @@
-// The timer around unanswered openings; nothing is asserted about durations.
+// Checks that the timer reports each opening once. Asserts no durations.
 #include "opening-retries.h"
 
 #include "clock.h"
@@ -9,18 +9,19 @@
 using namespace thymewall;
 using namespace thymewall::detail;
 
-TEST_CASE("each opening is given back once, as it was") {
+TEST_CASE("each opening is reported once and unchanged") {
   asio::io_context Context;
-  std::vector<std::string> Due;
+  std::vector<std::string> Expired;
   OpeningRetries Retries(
       Context, [&](MonoTime, const std::uint8_t *Data, std::size_t Size) {
-        Due.emplace_back(reinterpret_cast<const char *>(Data), Size);
+        Expired.emplace_back(reinterpret_cast<const char *>(Data), Size);
       });
   for (std::string Text : {"first", "second"})
-    Retries.sent(monoNow(), reinterpret_cast<const std::uint8_t *>(Text.data()),
-                 Text.size());
-  Context.run(); // ends once nothing waits any more
-  bool Whole = Due == std::vector<std::string>{"first", "second"};
-  // A machine that stalls for 200 ms leaves them to the caller's own copies.
-  CHECK((Whole || Due.empty()));
+    Retries.onOpeningSent(monoNow(),
+                          reinterpret_cast<const std::uint8_t *>(Text.data()),
+                          Text.size());
+  Context.run(); // returns when no timer is left
+  bool BothReturned = Expired == std::vector<std::string>{"first", "second"};
+  // Both are dropped if the machine stalls for 200 ms.
+  CHECK((BothReturned || Expired.empty()));
 }
--- a/test/standin/platform.cc
+++ b/test/standin/platform.cc
@@ -1,5 +1,5 @@
-// Stand-in for the users' platform: serves two documents from a folder, to be
-// read and watched (docs/PROTOCOL.md, "Platform").
+// Stand-in for the users' platform: serves the declaration and the host list
+// from a folder, with long polling (docs/PROTOCOL.md, "Platform").
 #include "standin-options.h"
 
 #include <condition_variable>
@@ -16,22 +16,22 @@
 
 namespace {
 
-constexpr auto ReadFolderEvery = std::chrono::milliseconds(20);
+constexpr auto FolderPollInterval = std::chrono::milliseconds(20);
 constexpr std::size_t MaxWatches = 128;
 
-/// One document, as last read from its file.
+/// Document with the content that was last read from its file.
 class Document {
 public:
   explicit Document(std::string Path) : Path_(std::move(Path)) {}
 
-  void reread() {
+  void reload() {
     std::optional<std::string> Text = readFile(Path_);
     if (!Text)
       return;
     auto Root = nlohmann::json::parse(*Text, nullptr, false);
     if (!Root.is_object() || !Root.contains("version") ||
         !Root["version"].is_number_unsigned())
-      return; // half written, or not a document
+      return; // partly written or invalid
     std::lock_guard<std::mutex> Guard(Mutex_);
     if (Text_ == *Text)
       return;
@@ -40,12 +40,13 @@
     Changed_.notify_all();
   }
 
-  /// Waits for another version than \p After; empty when none comes.
+  /// Waits up to \p Wait for a version other than \p After. Returns its text,
+  /// or an empty string on timeout.
   std::string watch(Version After, std::chrono::milliseconds Wait) {
     std::unique_lock<std::mutex> Guard(Mutex_);
-    bool Newer = Changed_.wait_for(
+    bool Changed = Changed_.wait_for(
         Guard, Wait, [&] { return Version_ != 0 && Version_ != After; });
-    return Newer ? Text_ : std::string();
+    return Changed ? Text_ : std::string();
   }
 
 private:
@@ -56,14 +57,16 @@
   Version Version_ = 0;
 };
 
-void serve(httplib::Server &Server, const char *Path, Document &From) {
-  Server.Get(Path, [&From](const httplib::Request &Request,
-                           httplib::Response &Response) {
-    auto Number = [&](const char *Name) {
+void serveDocument(httplib::Server &Server, const char *Path,
+                   Document &Source) {
+  Server.Get(Path, [&Source](const httplib::Request &Request,
+                             httplib::Response &Response) {
+    auto NumberParam = [&](const char *Name) {
       return std::strtoull(Request.get_param_value(Name).c_str(), nullptr, 10);
     };
-    std::string Text = From.watch(Number("after"),
-                                  std::chrono::milliseconds(Number("wait_ms")));
+    std::string Text =
+        Source.watch(NumberParam("after"),
+                     std::chrono::milliseconds(NumberParam("wait_ms")));
     if (Text.empty())
       Response.status = 204;
     else
@@ -72,30 +75,32 @@
 }
 
 int run(int Count, char **Values) {
-  cxxopts::Options Options("standin-platform", "Serves a folder's documents.");
-  Options.add_options()("listen", "IP:PORT", cxxopts::value<std::string>())(
-      "folder", "holds declaration.json and hosts.json",
+  cxxopts::Options Options("standin-platform",
+                           "Serves the documents in a folder.");
+  Options.add_options()("listen", "IP:PORT to listen on",
+                        cxxopts::value<std::string>())(
+      "folder", "folder of declaration.json and hosts.json",
       cxxopts::value<std::string>());
-  auto Arguments = parseStandin(Options, Count, Values);
+  auto Arguments = parseStandinOptions(Options, Count, Values);
   std::string Folder = Arguments["folder"].as<std::string>();
   Document Declaration(Folder + "/declaration.json");
-  Document Hosts(Folder + "/hosts.json");
+  Document HostList(Folder + "/hosts.json");
   httplib::Server Server;
   Server.new_task_queue = [] { return new httplib::ThreadPool(MaxWatches); };
-  serve(Server, "/v1/watch/declaration", Declaration);
-  serve(Server, "/v1/watch/hosts", Hosts);
+  serveDocument(Server, "/v1/watch/declaration", Declaration);
+  serveDocument(Server, "/v1/watch/hosts", HostList);
   std::thread Reader([&] {
     for (;;) {
-      Declaration.reread();
-      Hosts.reread();
-      std::this_thread::sleep_for(ReadFolderEvery);
+      Declaration.reload();
+      HostList.reload();
+      std::this_thread::sleep_for(FolderPollInterval);
     }
   });
   Reader.detach();
   std::string Listen = Arguments["listen"].as<std::string>();
-  Endpoint Where = parseEndpoint(Listen);
+  Endpoint Address = parseEndpoint(Listen);
   Listen.resize(Listen.rfind(':'));
-  return Server.listen(Listen.c_str(), Where.Port_) ? ExitDone : ExitUsage;
+  return Server.listen(Listen.c_str(), Address.Port_) ? ExitSuccess : ExitError;
 }
 
 } // namespace
--- a/test/unanswered-openings-test.cc
+++ b/test/unanswered-openings-test.cc
@@ -7,72 +7,75 @@
 
 namespace {
 
-using Numbers = std::vector<int>;
+using PacketIds = std::vector<int>;
 
 MonoTime at(std::chrono::milliseconds Time) { return MonoTime(10s + Time); }
 
 void add(UnansweredOpenings &Openings, std::chrono::milliseconds Time,
-         std::uint8_t Number) {
-  Openings.add(at(Time), &Number, 1);
+         std::uint8_t PacketId) {
+  Openings.add(at(Time), &PacketId, 1);
 }
 
-Numbers taken(UnansweredOpenings &Openings, std::chrono::milliseconds Time) {
-  Numbers Result;
-  Openings.takeDue(at(Time), [&](const std::uint8_t *Data, std::size_t Size) {
-    REQUIRE(Size == 1);
-    Result.push_back(Data[0]);
-  });
+PacketIds expiredPackets(UnansweredOpenings &Openings,
+                         std::chrono::milliseconds Time) {
+  PacketIds Result;
+  Openings.takeExpired(at(Time),
+                       [&](const std::uint8_t *Data, std::size_t Size) {
+                         REQUIRE(Size == 1);
+                         Result.push_back(Data[0]);
+                       });
   return Result;
 }
 
 } // namespace
 
-TEST_CASE("an opening is due once, when its answer should have come") {
+TEST_CASE("an opening expires once, after the timeout") {
   UnansweredOpenings Openings;
-  CHECK(Openings.dueAt() == MonoTime::max());
+  CHECK(Openings.nextDeadline() == MonoTime::max());
   add(Openings, 0ms, 1);
   add(Openings, 10ms, 2);
-  CHECK(Openings.dueAt() == at(40ms));
-  CHECK(taken(Openings, 39ms) == Numbers{});
-  CHECK(taken(Openings, 40ms) == Numbers{1});
-  CHECK(Openings.dueAt() == at(50ms));
-  CHECK(taken(Openings, 55ms) == Numbers{2});
-  CHECK(taken(Openings, 60ms) == Numbers{});
+  CHECK(Openings.nextDeadline() == at(40ms));
+  CHECK(expiredPackets(Openings, 39ms) == PacketIds{});
+  CHECK(expiredPackets(Openings, 40ms) == PacketIds{1});
+  CHECK(Openings.nextDeadline() == at(50ms));
+  CHECK(expiredPackets(Openings, 55ms) == PacketIds{2});
+  CHECK(expiredPackets(Openings, 60ms) == PacketIds{});
 }
 
-TEST_CASE("the time for an answer follows what is set") {
+TEST_CASE("a new timeout applies to later openings") {
   UnansweredOpenings Openings;
   add(Openings, 0ms, 1);
-  Openings.setWait(120ms);
+  Openings.setTimeout(120ms);
   add(Openings, 10ms, 2);
-  CHECK(taken(Openings, 45ms) == Numbers{1});
-  CHECK(taken(Openings, 120ms) == Numbers{});
-  CHECK(taken(Openings, 130ms) == Numbers{2});
+  CHECK(expiredPackets(Openings, 45ms) == PacketIds{1});
+  CHECK(expiredPackets(Openings, 120ms) == PacketIds{});
+  CHECK(expiredPackets(Openings, 130ms) == PacketIds{2});
 }
 
-TEST_CASE("a process that did not run waits for the answers in its socket") {
+TEST_CASE("a late call extends the deadlines") {
   UnansweredOpenings Openings;
   add(Openings, 0ms, 1);
   add(Openings, 30ms, 2);
-  CHECK(taken(Openings, 90ms) == Numbers{}); // 50 ms late
-  CHECK(Openings.dueAt() == at(130ms));
-  CHECK(taken(Openings, 130ms) == Numbers{1, 2});
+  CHECK(expiredPackets(Openings, 90ms) == PacketIds{}); // 50 ms late
+  CHECK(Openings.nextDeadline() == at(130ms));
+  CHECK(expiredPackets(Openings, 130ms) == PacketIds{1, 2});
 }
 
-TEST_CASE("once the caller sends again itself, nothing is due any more") {
+TEST_CASE("an opening is dropped once its caller retransmits it") {
   UnansweredOpenings Openings;
   add(Openings, 0ms, 1);
   add(Openings, 30ms, 2);
-  CHECK(taken(Openings, 170ms) == Numbers{});
-  CHECK(taken(Openings, 210ms) == Numbers{2});
+  CHECK(expiredPackets(Openings, 170ms) == PacketIds{});
+  CHECK(expiredPackets(Openings, 210ms) == PacketIds{2});
   add(Openings, 300ms, 3);
-  CHECK(taken(Openings, 9000ms) == Numbers{});
-  CHECK(Openings.dueAt() == MonoTime::max());
+  CHECK(expiredPackets(Openings, 9000ms) == PacketIds{});
+  CHECK(Openings.nextDeadline() == MonoTime::max());
 }
 
-TEST_CASE("the number of packets is bounded") {
+TEST_CASE("openings beyond the limit are ignored") {
   UnansweredOpenings Openings;
-  for (std::size_t I = 0; I < UnansweredOpenings::Bound + 10; ++I)
+  for (std::size_t I = 0; I < UnansweredOpenings::MaxPackets + 10; ++I)
     add(Openings, 0ms, 1);
-  CHECK(taken(Openings, 40ms).size() == UnansweredOpenings::Bound);
+  CHECK(expiredPackets(Openings, 40ms).size() ==
+        UnansweredOpenings::MaxPackets);
 }
--- a/test/upstream-codec-test.cc
+++ b/test/upstream-codec-test.cc
@@ -13,9 +13,9 @@
 UpstreamChange listed(std::uint64_t Id) {
   UpstreamEntry E;
   E.Incarnation_ = Incarnation{0x7f3a91c200 + Id};
-  E.BornMs_ = 1772424720123 + Id;
+  E.StartTimeMs_ = 1772424720123 + Id;
   E.Service_ = ServiceId{0x9e3779b9};
-  E.At_ = Endpoint::v4(static_cast<std::uint32_t>(0x0a034000 + Id), 8241);
+  E.Address_ = Endpoint::v4(static_cast<std::uint32_t>(0x0a034000 + Id), 8241);
   E.DataHall_ = "ams-hall-" + std::string(1, static_cast<char>('a' + Id % 5));
   E.Slots_ = 2;
   E.WarmAt_ = Now;
@@ -25,7 +25,7 @@
 
 } // namespace
 
-TEST_CASE("an upstream of a long list takes 40 bytes") {
+TEST_CASE("an upstream in a long list takes at most 40 bytes") {
   std::vector<UpstreamChange> Changes;
   for (std::uint64_t Id = 0; Id < 6000; ++Id)
     Changes.push_back(listed(Id));
@@ -34,7 +34,7 @@
   CHECK(decodeChanges(J, Now) == Changes);
 }
 
-TEST_CASE("changes that are damaged are refused, never misread beyond memory") {
+TEST_CASE("corrupted changes are decoded or rejected by an exception") {
   std::vector<UpstreamChange> Changes = {
       listed(1), {Incarnation{9}, 7, std::nullopt}, listed(2)};
   auto Bytes = nlohmann::json::to_cbor(encodeChanges(Changes, Now));
