--- a/include/thymewall/packet-settings.h
+++ b/include/thymewall/packet-settings.h
@@ -27,9 +27,9 @@
   /// Age at which a flow may be removed from the table.
   Micros MaxFlowAge_{};
   /// A cold upstream gets at most the limit that its service publishes times
-  /// `ColdOver_`, plus `ColdSlack_` flows a second.
-  double ColdOver_ = 1;
-  double ColdSlack_ = 0;
+  /// `ColdBurstFactor_`, plus `ColdBurstAllowance_` flows a second.
+  double ColdBurstFactor_ = 1;
+  double ColdBurstAllowance_ = 0;
 };
 bool operator==(const PacketSettings &A, const PacketSettings &B);
 
--- a/src/packet-balancer-evidence.cc
+++ b/src/packet-balancer-evidence.cc
@@ -27,9 +27,9 @@
 constexpr int StallDelayFactor = 8;
 constexpr Micros MinStallTimeout = std::chrono::milliseconds(600);
 /// Ejection time, which doubles with each consecutive ejection up to
-/// `MaxEjectionFactor` times its base.
+/// `MaxEjectionMultiplier` times its base.
 constexpr Micros BaseEjectionTime = std::chrono::milliseconds(2000);
-constexpr std::uint32_t MaxEjectionFactor = 8;
+constexpr std::uint32_t MaxEjectionMultiplier = 8;
 /// Minimum number of requests reported by peers while the fabric moves flows,
 /// so that one wrong report does not eject an upstream in the whole fleet.
 constexpr std::size_t MinPeerEvidence = 2;
@@ -267,7 +267,7 @@
                                             std::size_t Needed) {
   UpstreamState &State = UpstreamStates_[Index];
   std::uint32_t Factor =
-      std::min(MaxEjectionFactor, 1U << std::min(Consecutive, 8U));
+      std::min(MaxEjectionMultiplier, 1U << std::min(Consecutive, 8U));
   ++Consecutive;
   ++(Reason == UpstreamEvent::Kind::Stalled ? Counters_.Stalled_
                                             : Counters_.Failing_);
--- a/src/packet-process-control.cc
+++ b/src/packet-process-control.cc
@@ -125,10 +125,10 @@
   Settings_.StopTimeout_ = Changed->StopTimeout_;
   Settings_.MaxRoutingDelay_ = Changed->MaxRoutingDelay_;
   Settings_.MaxFlowAge_ = Changed->MaxFlowAge_;
-  Settings_.ColdOver_ = Changed->ColdOver_;
-  Settings_.ColdSlack_ = Changed->ColdSlack_;
+  Settings_.ColdBurstFactor_ = Changed->ColdBurstFactor_;
+  Settings_.ColdBurstAllowance_ = Changed->ColdBurstAllowance_;
   Core_.setLimits(resetStalenessLimit(Settings_), Settings_.MaxFlowAge_,
-                  Settings_.ColdOver_, Settings_.ColdSlack_);
+                  Settings_.ColdBurstFactor_, Settings_.ColdBurstAllowance_);
   logState("settings_reloaded", {{"cause", Cause}});
 }
 
--- a/src/packet-process.cc
+++ b/src/packet-process.cc
@@ -41,7 +41,7 @@
   return PacketBalancerBuilder()
       .maxStalenessForReset(resetStalenessLimit(S))
       .maxFlowAge(S.MaxFlowAge_)
-      .coldBurst(S.ColdOver_, S.ColdSlack_)
+      .coldBurst(S.ColdBurstFactor_, S.ColdBurstAllowance_)
       .onDecision(logPacketDecision)
       .onUpstreamEvent(logUpstreamEvent)
       .onDelay(std::move(OnDelay))
--- a/src/packet-settings.cc
+++ b/src/packet-settings.cc
@@ -12,8 +12,8 @@
 constexpr std::int64_t MaxTimeMs = 86'400'000;
 
 /// Upper bounds that catch typing errors.
-constexpr double MaxColdOver = 100;
-constexpr double MaxColdSlack = 100'000;
+constexpr double MaxColdBurstFactor = 100;
+constexpr double MaxColdBurstAllowance = 100'000;
 
 Micros readMs(detail::ObjectReader &Reader, const char *Key) {
   return std::chrono::milliseconds(Reader.integer(Key, 1, MaxTimeMs));
@@ -27,7 +27,7 @@
                     S.ControlAddress_, S.AdvertisedControlAddress_,
                     S.ConfigServiceAddress_, S.MetricsPort_, S.Seeds_,
                     S.MaxRoutingDelay_, S.StopTimeout_, S.MaxFlowAge_,
-                    S.ColdOver_, S.ColdSlack_);
+                    S.ColdBurstFactor_, S.ColdBurstAllowance_);
   };
   return Fields(A) == Fields(B);
 }
@@ -55,8 +55,9 @@
   S.MaxRoutingDelay_ = readMs(Reader, "routing_within_ms");
   S.StopTimeout_ = readMs(Reader, "stop_within_ms");
   S.MaxFlowAge_ = readMs(Reader, "flow_limit_ms");
-  S.ColdOver_ = Reader.numberOr("cold_over", 1, 0, MaxColdOver);
-  S.ColdSlack_ = Reader.numberOr("cold_slack", 0, 0, MaxColdSlack);
+  S.ColdBurstFactor_ = Reader.numberOr("cold_over", 1, 0, MaxColdBurstFactor);
+  S.ColdBurstAllowance_ =
+      Reader.numberOr("cold_slack", 0, 0, MaxColdBurstAllowance);
   Reader.finish();
   if (!Found.empty())
     return boost::leaf::new_error(Found.all());
--- a/test/packet-settings-test.cc
+++ b/test/packet-settings-test.cc
@@ -85,13 +85,13 @@
 }
 
 TEST_CASE("the allowances above the limit of cold upstreams are optional") {
-  CHECK(parseValid(validSettings()).ColdOver_ == 1);
+  CHECK(parseValid(validSettings()).ColdBurstFactor_ == 1);
   Json Changed = validSettings();
   Changed["cold_over"] = 1.5;
   Changed["cold_slack"] = 5;
   PacketSettings S = parseValid(Changed);
-  CHECK(S.ColdOver_ == 1.5);
-  CHECK(S.ColdSlack_ == 5);
+  CHECK(S.ColdBurstFactor_ == 1.5);
+  CHECK(S.ColdBurstAllowance_ == 5);
   Changed["cold_over"] = -1;
   REQUIRE(problemsOf(Changed).size() == 1);
   CHECK(problemsOf(Changed)[0].Key_ == "cold_over");
