--- a/test/upstream-list-test.cc
+++ b/test/upstream-list-test.cc
@@ -123,10 +123,10 @@
 
   UpstreamList Started;
   REQUIRE(apply(Started, {true, 0, 20, {put(3, 3)}, {}}));
-  UpstreamBatch Told = Old.changesSince(20);
-  Told.Ended_ = Old.ended();
+  UpstreamBatch Update = Old.changesSince(20);
+  Update.Ended_ = Old.ended();
   std::vector<UpstreamChange> Applied;
-  REQUIRE(Started.apply(Told, Applied));
+  REQUIRE(Started.apply(Update, Applied));
   REQUIRE(Applied.size() == 2);
   CHECK(Applied[0].Ended_);
   CHECK(Applied[0].Entry_ == entry(1, 2));
@@ -136,12 +136,12 @@
 
   // Applied only once, and kept for others.
   Applied.clear();
-  REQUIRE(Started.apply(Told, Applied));
+  REQUIRE(Started.apply(Update, Applied));
   CHECK(Applied.empty());
   CHECK(Started.ended().size() == 2);
   UpstreamList Lists;
   REQUIRE(apply(Lists, {true, 0, 9, {put(2, 9)}, {}}));
-  REQUIRE(Lists.apply(Told, Applied) == false); // a gap
+  REQUIRE(Lists.apply(Update, Applied) == false); // a gap
   CHECK(Applied.empty());
 
   // Published again, it is no longer among the ended ones.
--- a/test/upstream-stall-test.cc
+++ b/test/upstream-stall-test.cc
@@ -226,11 +226,11 @@
   B.follow(20ms, 2, Up, 1000, 1, 100);  // opened by a peer
   B.follow(200ms, 1, Up, 1000, 1, 100); // a retransmission
   B.B_.tick(at(750ms));
-  std::size_t Told = 0;
+  std::size_t SentWarnings = 0;
   for (const UpstreamWarning &M : B.Warnings_)
     if (M.Upstream_ == Incarnation{Up})
-      ++Told;
-  CHECK(Told == 1); // ejected by the first, so no more are sent
+      ++SentWarnings;
+  CHECK(SentWarnings == 1); // ejected by the first, so no more are sent
   CHECK_FALSE(B.takesFlows(Up, 760ms));
 }
 
