--- a/include/thymewall/cold-admission.h
+++ b/include/thymewall/cold-admission.h
@@ -21,8 +21,8 @@
 /// Limit on the new flows of the whole fleet to one cold upstream.
 struct ColdLimit {
   double PerSecond_ = 0;      ///< Published for the service; 0 for no limit.
-  double BurstFactor_ = 1;    ///< Multiplier for any single second.
-  double BurstAllowance_ = 0; ///< Flows on top of that.
+  double BurstFactor_ = 1;    ///< Multiplier of `PerSecond_`.
+  double BurstAllowance_ = 0; ///< Added to the product.
 
   bool isSet() const { return PerSecond_ > 0; }
   /// Maximum number of new flows in any second.
--- a/include/thymewall/config-reader.h
+++ b/include/thymewall/config-reader.h
@@ -97,7 +97,7 @@
       : JitterFraction_(Jitter), IsSeed_(IsSeed) {}
 
   /// Returns the call that is due at \p Now, if any. At most one call is in
-  /// flight, and none starts before \p NotBefore, until when peers keep this
+  /// flight, and none starts before \p NotBefore: until then peers keep this
   /// process up to date.
   std::optional<ConfigRequest> next(MonoTime Now, MonoTime NotBefore);
   /// Returns when to ask `next` again; `MonoTime::max()` while a call is in
--- a/include/thymewall/gossip.h
+++ b/include/thymewall/gossip.h
@@ -79,15 +79,15 @@
   /// at most this long ago. Bounds how much a delayed message can understate
   /// the age of its state.
   static constexpr Micros MaxEchoAge = std::chrono::milliseconds(1200);
-  /// State older than this lets the next balancer read; longer than the
+  /// Age of the state at which another balancer starts to read; longer than the
   /// interval between two confirmations of a reader. Each further rank waits
-  /// one more step. In a large fleet the steps aren't bounded, as all balancers
-  /// beyond the bound would read at once.
+  /// one more `TakeoverStep`. In a large fleet the steps aren't bounded, as all
+  /// balancers beyond the bound would read at once.
   static constexpr Micros TakeoverAge = std::chrono::milliseconds(1500);
   static constexpr Micros TakeoverStep = std::chrono::milliseconds(100);
-  /// Minimum advance of the first live balancer's last sign of life that is
-  /// forwarded at once: shorter than a heartbeat interval, longer than the
-  /// interval of confirmations.
+  /// A sign of life of the first live balancer is forwarded at once if it is
+  /// newer by more than this than the last forwarded one. Shorter than a
+  /// heartbeat interval, longer than the interval of confirmations.
   static constexpr Micros AliveUpdateStep = std::chrono::milliseconds(800);
   /// Upper bound on steps in a fleet where each balancer tracks all members.
   static constexpr std::size_t MaxTakeoverSteps = 8;
--- a/include/thymewall/packet-balancer.h
+++ b/include/thymewall/packet-balancer.h
@@ -176,7 +176,8 @@
   /// A tick this late means that the process was suspended.
   static constexpr Micros LateTickThreshold = std::chrono::milliseconds(1000);
   /// How long an upstream may be missing from the list after an outage of the
-  /// configuration service. Live upstreams publish themselves again within 2 s.
+  /// configuration service. Live upstreams publish themselves again in this
+  /// time.
   static constexpr Micros LapseTimeout = std::chrono::milliseconds(2000);
 
   /// Largest update whose upstreams are reported as one event each. The initial
@@ -236,7 +237,7 @@
   void setFleet(FleetView View);
   /// Returns whether any service limits new flows to its cold upstreams.
   bool hasColdLimits() const;
-  /// Replaces the options of the same names.
+  /// Replaces these limits of `PacketBalancerOptions`.
   void setLimits(Micros MaxStalenessForReset, Micros MaxFlowAge,
                  double ColdBurstFactor, double ColdBurstAllowance);
 
--- a/include/thymewall/unanswered-openings.h
+++ b/include/thymewall/unanswered-openings.h
@@ -16,8 +16,7 @@
 /// Queue of recently forwarded opening packets with their deadlines.
 class UnansweredOpenings {
 public:
-  /// Lower bound of the timeout, used until delays are measured. Well above the
-  /// usual delay of the caller's acknowledgement.
+  /// Lower bound of the timeout, which is used until delays are measured.
   static constexpr Micros MinTimeout = std::chrono::milliseconds(40);
   /// Upper bound of the timeout. A longer one would gain too little over the
   /// caller's retransmission.
@@ -28,7 +27,7 @@
   /// A call of `takeExpired` this late means that the process was suspended;
   /// answers may still be queued in its socket.
   static constexpr Micros LateThreshold = std::chrono::milliseconds(20);
-  /// Bounds the memory use; far more openings than await an answer at a time.
+  /// Bounds the memory use.
   static constexpr std::size_t MaxPackets = 1024;
 
   using ExpiryHandler =
--- a/include/thymewall/upstream-list.h
+++ b/include/thymewall/upstream-list.h
@@ -15,7 +15,7 @@
 namespace thymewall {
 
 /// A published upstream. The pair of `Incarnation_` and `StartTimeMs_`
-/// identifies a start; usually the incarnation alone does.
+/// identifies a start, since a restarted upstream may keep its incarnation.
 struct UpstreamEntry {
   Incarnation Incarnation_{};
   /// Time of the start in Unix milliseconds; 0 if it is not published.
--- a/include/thymewall/upstream-table.h
+++ b/include/thymewall/upstream-table.h
@@ -29,7 +29,7 @@
   bool Declared_ = false;
   bool Leaving_ = false;   ///< Draining, or its host is leaving.
   bool Evacuated_ = false; ///< Its data hall is evacuated.
-  bool Dead_ = false;      ///< Proved by a check; until one succeeds.
+  bool Dead_ = false;      ///< See `setDead`.
   bool RemembersRequests_ = false;
 };
 
@@ -106,7 +106,7 @@
   /// grows with consecutive ejections and is scaled by 0.5 + \p Jitter, which
   /// is between 0 and 1.
   void recordFailure(std::uint32_t Index, MonoTime Now, double Jitter);
-  /// Ejects the upstream until \p Until, or longer if it already is.
+  /// Ejects the upstream until \p Until. A longer ejection stays in force.
   void eject(std::uint32_t Index, MonoTime Until);
   /// Begins a slow start at \p Start, after a start or an ejection.
   void beginSlowStart(std::uint32_t Index, MonoTime Start);
--- a/src/config-reader.cc
+++ b/src/config-reader.cc
@@ -44,7 +44,7 @@
 MonoTime ConfigReader::dueAt(MonoTime NotBefore) const {
   if (InFlight_)
     return MonoTime::max();
-  // A starting balancer reads a list to serve by, whoever reads for the fleet.
+  // A starting balancer needs a list even if another one reads for the fleet.
   bool Starting = ListNeeded_ && StaleListNeeded_;
   return Starting ? DueAt_ : std::max(DueAt_, NotBefore);
 }
--- a/src/gossip-links.cc
+++ b/src/gossip-links.cc
@@ -11,8 +11,8 @@
 /// Members sent when a link opens, and with each later heartbeat.
 constexpr std::size_t MembersOnOpen = 64;
 constexpr std::size_t MembersPerHeartbeat = 3;
-/// Outbound links to other data halls. A large fleet has hundreds of them per
-/// hall, and traffic between halls costs more than within one.
+/// Outbound links to other data halls. Few, since traffic between halls costs
+/// more than within one.
 constexpr std::size_t RemoteHallLinks = 2;
 constexpr std::size_t RemoteHallLinksLargeFleet = 1;
 /// Ticks during which a start without links tries only one seed.
--- a/src/mechanism.h
+++ b/src/mechanism.h
@@ -29,9 +29,9 @@
   OpeningEjection,     ///< Upstreams that do not answer openings are ejected.
   StallEjection,       ///< Upstreams that do not answer requests are ejected.
   ShortAnswerEjection, ///< Upstreams that answer with errors are ejected.
-  CorrelatedSilence,   ///< Silence that affects all upstreams alike is ignored.
+  CorrelatedSilence,   ///< Failures at many upstreams raise the threshold.
   SlowStartAfterStall, ///< New flows ramp up slowly after a stall.
-  LivenessChecks,      ///< Silent upstreams are probed for liveness.
+  LivenessChecks,      ///< Upstreams that stop answering are checked.
   PeerWarnings,        ///< Peers are warned of dead and stalled upstreams.
   HeldPackets,         ///< Packets are buffered until the balancer is ready.
   EndedUpstreams,      ///< Starting balancers ask peers for ended upstreams.
--- a/src/member-list.h
+++ b/src/member-list.h
@@ -21,7 +21,7 @@
   /// plus a margin for a slow host.
   static constexpr Micros AliveWithin = std::chrono::milliseconds(1300);
   /// Members that each balancer hears of within a heartbeat interval: 3 on each
-  /// of 6 links. In a larger fleet the silence of a member has no meaning.
+  /// of 6 links. In a larger fleet a live member may seem dead.
   static constexpr std::size_t MaxTrackedMembers = 18;
 
   /// Members of the lowest reader scores, which every balancer tracks in a
--- a/src/packet-balancer-evidence.cc
+++ b/src/packet-balancer-evidence.cc
@@ -14,9 +14,9 @@
 
 /// Minimum time between two checks of an upstream.
 constexpr Micros MinCheckInterval = std::chrono::milliseconds(1000);
-/// Bounds of the exponential backoff between checks of a dead upstream. A
-/// restarted one has a new incarnation, so that a dead one returns only after a
-/// network partition, which lasts seconds.
+/// Bounds of the exponential backoff between checks of a dead upstream. They
+/// find upstreams that are reachable again after a network partition; restarts
+/// are published.
 constexpr Micros MinRecheckDelay = std::chrono::milliseconds(1000);
 constexpr Micros MaxRecheckDelay = std::chrono::milliseconds(4000);
 
--- a/src/packet-balancer-upstreams.cc
+++ b/src/packet-balancer-upstreams.cc
@@ -30,7 +30,7 @@
   bool CookieTaken = It != IndexOfCookie_.end() &&
                      Upstreams_[It->second].Incarnation_ != Entry.Incarnation_;
   // On a cookie collision the earlier upstream keeps it and the later one gets
-  // no flows, since their packets could not be told apart.
+  // no flows, since their packets could not be distinguished.
   if (CookieTaken)
     return;
   bool IsNew = It == IndexOfCookie_.end();
@@ -85,8 +85,8 @@
   }
 }
 
-/// Adds an upstream that was removed before this balancer started. It may serve
-/// its open flows for many seconds, and their packets need its row.
+/// Adds an upstream that was removed before this balancer started. It may still
+/// serve open flows, whose packets need its row.
 void PacketBalancer::Impl::addEnded(const UpstreamChange &Change) {
   if (indexOf(Change.Incarnation_) != UpstreamTable::None)
     return;
--- a/src/packet-process-impl.h
+++ b/src/packet-process-impl.h
@@ -26,9 +26,9 @@
 /// Interval at which the settings file is checked for changes.
 constexpr Micros SettingsPollInterval = std::chrono::seconds(2);
 
-/// Time after the start without any peer after which there is none to get the
-/// upstream list from. A seed that hundreds of processes contact at once
-/// answers within half a second.
+/// A process that knows no peer this long after its start stops waiting for
+/// peers to send the upstream list. Long enough for the answer of a seed that a
+/// whole fleet contacts at once.
 constexpr Micros FirstPeerTimeout = std::chrono::milliseconds(1500);
 
 /// Returns the maximum age of the state at which packets to unknown addresses
--- a/src/packet-process.cc
+++ b/src/packet-process.cc
@@ -16,8 +16,8 @@
 }
 
 /// Returns whether the error may disappear when upstreams are published. After
-/// an outage of the configuration service all of them are missing for up to
-/// 2 s.
+/// an outage of the configuration service all of them are missing until they
+/// publish themselves again.
 bool isTransientError(ErrorKind Error) {
   return Error == ErrorKind::NoneLeft || Error == ErrorKind::UnknownCookie;
 }
--- a/src/peer-links.cc
+++ b/src/peer-links.cc
@@ -10,7 +10,7 @@
 
 namespace {
 
-/// Timeout of opening and closing handshakes; a round trip takes milliseconds.
+/// Timeout of opening and closing handshakes.
 constexpr long HandshakeTimeoutMs = 1500;
 /// Unsent bytes of a link above which it is closed, since its peer doesn't
 /// read.
--- a/src/peer-probes.h
+++ b/src/peer-probes.h
@@ -1,5 +1,5 @@
 /// \file
-/// Tells a dead upstream from congestion of this host's own link.
+/// Distinguishes a dead upstream from congestion of this host's own link.
 ///
 /// A large transfer over a slow link delays all answers, so that checks of
 /// healthy upstreams time out. So peers are probed at the start of each
--- a/src/upstream-checker.cc
+++ b/src/upstream-checker.cc
@@ -11,7 +11,7 @@
 
 namespace {
 
-/// Timeout of a connection attempt, which takes about 2 ms between data halls.
+/// Timeout of a connection attempt.
 constexpr auto AttemptTimeout = std::chrono::milliseconds(80);
 /// A later timer means that this process was suspended, so that the timeout of
 /// the attempt proves nothing.
--- a/src/upstream-codec.h
+++ b/src/upstream-codec.h
@@ -20,7 +20,7 @@
                                           MonoTime Now);
 
 /// Parses an address and port. Throws `std::invalid_argument` if the text is
-/// none.
+/// not one.
 Endpoint decodeEndpoint(const nlohmann::json &J);
 
 } // namespace thymewall::detail
--- a/test/answer-evidence-test.cc
+++ b/test/answer-evidence-test.cc
@@ -148,8 +148,8 @@
       Sizes.recordAndCheckShort(Endpoint::v4(0xc6120001, 80), ErrorBytes));
 }
 
-TEST_CASE("the baseline ignores a fifth of errors but follows a change of all "
-          "answers") {
+TEST_CASE("the baseline ignores errors in a fifth of the answers but follows "
+          "a change of all answers") {
   AnswerSizes Sizes;
   std::mt19937_64 Random(3);
   for (int I = 0; I < 1000; ++I)
@@ -172,7 +172,8 @@
   CHECK_FALSE(Sizes.recordAndCheckShort(Address, ErrorBytes));
 }
 
-TEST_CASE("a fifth of a service that answers with errors gets few flows") {
+TEST_CASE(
+    "if a fifth of the upstreams answers with errors, it gets few flows") {
   for (const Size &S : Fleets) {
     CAPTURE(S.Balancers_);
     Fleet F(S.Balancers_, S.Upstreams_, metadataSize);
--- a/test/ended-answers-test.cc
+++ b/test/ended-answers-test.cc
@@ -11,7 +11,7 @@
 
 MonoTime at(std::chrono::milliseconds Time) { return MonoTime(100s + Time); }
 
-/// A news exchange that has just started, with five simulated peers.
+/// A gossip node that has just started, with five simulated peers.
 class StartingBalancer {
 public:
   StartingBalancer() : Gossip_({member(0), {}}, hooks()) {
@@ -71,7 +71,7 @@
 } // namespace
 
 TEST_CASE("three peers are asked for ended upstreams even if the first one "
-          "sends a lot of other news") {
+          "sends many other changes") {
   StartingBalancer N;
   for (auto Time = 0ms; Time < 1000ms; Time += 100ms) {
     N.heartbeat(Time, 1);
--- a/test/fleet-start-test.cc
+++ b/test/fleet-start-test.cc
@@ -1,5 +1,5 @@
-// Load on the configuration service and on members when a fleet starts at once:
-// it must not grow with the product of balancers and upstreams.
+// Bounds on the load of a starting fleet on the configuration service and on
+// its members, and on the takeover of reading in a large fleet.
 #include "gossip-fleet.h"
 #include "peer-choice.h"
 #include "thymewall/list-parts.h"
@@ -70,8 +70,8 @@
 
 } // namespace
 
-TEST_CASE("the reads of a start do not grow with the list, and no part is sent "
-          "twice") {
+TEST_CASE("balancers that start read only some parts of the list and receive "
+          "no part twice") {
   for (std::size_t Balancers : {std::size_t{80}, std::size_t{160}}) {
     CAPTURE(Balancers);
     StartingFleet S(Balancers);
@@ -182,7 +182,7 @@
   CHECK(S.fleet().allKnow(R));
 }
 
-TEST_CASE("a network partition starts reading for itself in time") {
+TEST_CASE("members of a network partition read for themselves in time") {
   // Three members have no links to each other at first; the lowest of the last
   // forty ranks is 360.
   for (std::size_t Part : {std::size_t{3}, std::size_t{40}}) {
--- a/test/flow-fleet.h
+++ b/test/flow-fleet.h
@@ -1,5 +1,5 @@
 /// \file
-/// Simulated fleet of packet balancers with news exchange, upstreams and
+/// Simulated fleet of packet balancers with gossip, upstreams and
 /// callers' flows on virtual time. For tests of open flows across restarts and
 /// changes.
 #ifndef THYMEWALL_TEST_FLOW_FLEET_H
--- a/test/gossip-test.cc
+++ b/test/gossip-test.cc
@@ -73,7 +73,7 @@
   CHECK(Fleet.allKnow(R));
 }
 
-TEST_CASE("a refused third of a large fleet gets all changes from the rest") {
+TEST_CASE("members that the service refuses get all changes from the others") {
   GossipFleet Fleet(90, 5);
   for (std::size_t I = 0; I < 90; I += 3)
     Fleet.setRefused(I, true);
@@ -343,7 +343,7 @@
   for (std::size_t I = 1; I < 9; ++I)
     CutOff.setBlocked(0, I, true);
   CHECK(NeverLost(CutOff, 12s));
-  // Too large for silence to have a meaning.
+  // Too large to track all members, so that live ones may seem dead.
   GossipFleet Large(30);
   Large.run(6s);
   for (std::size_t I = 0; I < 24; ++I)
--- a/test/upstream-check-test.cc
+++ b/test/upstream-check-test.cc
@@ -120,7 +120,7 @@
   CHECK(B.Resets_.size() == 2);
 }
 
-TEST_CASE("a peer's warning of a dead upstream triggers an own check") {
+TEST_CASE("a peer's warning of a dead upstream triggers a check of it") {
   RecordingBalancer B;
   std::uint64_t Up = B.request(1);
   B.B_.onPeerWarning(at(100ms), {Incarnation{Up}, UpstreamWarning::Kind::Dead});
--- a/test/upstream-stall-test.cc
+++ b/test/upstream-stall-test.cc
@@ -10,7 +10,7 @@
 TEST_CASE("an upstream that leaves requests unanswered is ejected from new "
           "flows") {
   RecordingBalancer B;
-  B.answered(900); // sets the usual answer time of the service
+  B.answered(900); // sets the average delay of the service
   std::uint64_t Up = B.request(1);
   SUBCASE("once a request exceeds the limit") {
     B.B_.tick(at(500ms));
@@ -82,7 +82,7 @@
   CHECK_FALSE(B.takesFlows(Up, 1760ms));
 }
 
-TEST_CASE("a slow but healthy service loses no upstream") {
+TEST_CASE("upstreams of a slow service are not ejected early") {
   SUBCASE("before its first answer") {
     RecordingBalancer B;
     std::uint64_t Up = B.request(1);
@@ -90,7 +90,7 @@
       B.B_.tick(at(Now));
     CHECK(B.takesFlows(Up, 5s));
   }
-  SUBCASE("judged by its usual answer time") {
+  SUBCASE("the timeout follows its average delay") {
     RecordingBalancer B;
     B.answered(900, 1000ms);
     std::uint64_t Up = B.request(1);
@@ -103,8 +103,8 @@
   }
 }
 
-TEST_CASE("the wait before a retry follows the usual time of openings, and a "
-          "retry does not blame the second upstream") {
+TEST_CASE("the retry timeout follows the opening delay, and a retry does not "
+          "blame the second upstream") {
   RecordingBalancer B;
   CHECK(B.B_.openingTimeout() == 40ms);
   auto OpenIn = [&](std::chrono::milliseconds Begin, std::uint16_t Port,
--- a/test/upstream-table-test.cc
+++ b/test/upstream-table-test.cc
@@ -85,7 +85,7 @@
   }
 }
 
-TEST_CASE("consecutive ejections grow until a success") {
+TEST_CASE("consecutive ejections get longer until a success") {
   UpstreamTable Table(1);
   Table.declare(declare(1), at(0));
   auto EjectedFor = [&](int Now) {
@@ -100,7 +100,8 @@
   CHECK(EjectedFor(40'000) == UpstreamTable::BaseEjectionTime);
 }
 
-TEST_CASE("a failure during an ejection for another reason is the first") {
+TEST_CASE("a failure during an ejection for another reason ejects for the base "
+          "time") {
   UpstreamTable Table(1);
   Table.declare(declare(1), at(0));
   Table.eject(0, at(1000));
