--- a/src/packet-process-impl.h
+++ b/src/packet-process-impl.h
@@ -1,7 +1,7 @@
 /// \file
 /// Implementation of `PacketProcess`: packets and timers in packet-process.cc,
-/// peers and the configuration service in packet-process-news.cc, status pages,
-/// signals and settings in packet-process-control.cc.
+/// peers and the configuration service in packet-process-gossip.cc, status
+/// pages, signals and settings in packet-process-control.cc.
 #ifndef THYMEWALL_SRC_PACKET_PROCESS_IMPL_H
 #define THYMEWALL_SRC_PACKET_PROCESS_IMPL_H
 
