--- a/include/thymewall/balancer.h
+++ b/include/thymewall/balancer.h
@@ -37,7 +37,7 @@
 struct FromCaller {
   Endpoint From_;
   Message Message_;
-  std::size_t WireSize_ = 0; ///< At least `MinOpenSize` for an open.
+  std::size_t WireSize_ = 0; ///< In bytes; opens need `MinOpenSize`.
 };
 /// A datagram from an upstream.
 struct FromUpstream {
@@ -137,8 +137,8 @@
   std::uint64_t NotRun_ = 0;
   std::uint64_t OutcomeUnknown_ = 0;
   std::uint64_t Retries_ = 0;
-  std::uint64_t Rehomed_ = 0; ///< Taken over with a request's outcome unknown.
-  std::uint64_t Moved_ = 0;   ///< Taken over before a request was lost.
+  std::uint64_t Rehomed_ = 0; ///< Requests whose home or flow row was lost.
+  std::uint64_t Moved_ = 0;   ///< Takeovers of a flow from a suspect home.
   std::uint64_t Adopted_ = 0; ///< Requests of a stopped home run here.
   std::uint64_t LateWakes_ = 0;
 };
--- a/include/thymewall/core.h
+++ b/include/thymewall/core.h
@@ -137,7 +137,7 @@
 };
 
 /// Name and response of an error kind. The core sends `OutcomeUnknown` in place
-/// of `NotRun` where another process may have forwarded the request.
+/// of `NotRun` if the request, or a copy of it, may be run elsewhere.
 struct ErrorRow {
   ErrorKind Kind_;
   std::string_view Name_;
--- a/include/thymewall/log.h
+++ b/include/thymewall/log.h
@@ -47,7 +47,7 @@
 /// Token bucket that limits the rate of log lines and counts the dropped ones.
 class LogRateLimiter {
 public:
-  /// Limits the output to about 25 KB/s at about 250 bytes per line.
+  /// Rate at which the bucket is refilled.
   static constexpr std::uint32_t LinesPerSecond = 100;
   /// Capacity of the bucket in lines.
   static constexpr std::uint32_t Burst = 300;
--- a/include/thymewall/message.h
+++ b/include/thymewall/message.h
@@ -43,7 +43,7 @@
   FlagOutcomeUnknown = 4 ///< On `Refused` and `Reset`: may have run.
 };
 
-/// Size limits in bytes of a payload, a message header and a sealed route.
+/// Size limits in bytes of a payload, a message header and a signed route.
 constexpr std::size_t MaxDatagramSize = 1400;
 constexpr std::size_t MaxHeaderSize = 256;
 constexpr std::size_t MaxRouteSize = 96;
@@ -74,7 +74,7 @@
   ErrorKind Reason_ = ErrorKind::None; ///< On `Refused` and `Reset`.
   WallTime RetryAt_{};                 ///< On `Refused`: earliest retry.
   std::uint32_t OpenFlows_ = 0; ///< Flows that the upstream reports as open.
-  Bytes Route_;                 ///< Sealed route; opaque to callers.
+  Bytes Route_;                 ///< Signed route; opaque to callers.
   Endpoint Caller_;             ///< Return address; opaque to upstreams.
   Bytes Payload_;
 
--- a/include/thymewall/routing.h
+++ b/include/thymewall/routing.h
@@ -31,7 +31,7 @@
   std::unordered_map<Endpoint, std::vector<ServiceShare>, EndpointHash>
       Addresses_;
   std::unordered_map<std::uint32_t, std::string> ServiceNames_;
-  /// By service: most new flows per second to one cold upstream. Services
+  /// Maximum rate of new flows to one cold upstream, by service. Services
   /// without a limit have no entry.
   std::unordered_map<std::uint32_t, double> ColdFlowsPerSecond_;
   /// Time without packets after which a flow may be dropped from the table.
--- a/include/thymewall/succession.h
+++ b/include/thymewall/succession.h
@@ -18,10 +18,10 @@
   return A.Data_ == B.Data_ && A.Incarnation_ == B.Incarnation_;
 }
 
-/// After this record the process `Home_` forwards no request, and every request
-/// that it forwarded earlier has a deadline at or before `Fence_`. A successor
-/// may therefore run a request of the old home with a later deadline: nobody
-/// has run it.
+/// After this record the process `Home_` dispatches no at-most-once request of
+/// its flows, and those that it dispatched earlier have deadlines at or before
+/// `Fence_`. A successor may therefore run a request with a later deadline:
+/// nobody has run it.
 struct Succession {
   Incarnation Home_{};
   WallTime Fence_{};
--- a/src/balancer-home.cc
+++ b/src/balancer-home.cc
@@ -107,7 +107,8 @@
 }
 
 /// Returns true once this process has announced its successors. From then on
-/// only they dispatch requests and refuse them as not run.
+/// only they dispatch at-most-once requests of its flows and refuse them as not
+/// run.
 bool Balancer::Impl::hasNamedSuccessors() const {
   return !OwnSuccession_.Successors_.empty() &&
          isEnabled(Mechanism::DelegationOnStop);
--- a/src/balancer-succession.cc
+++ b/src/balancer-succession.cc
@@ -41,9 +41,9 @@
   return nullptr;
 }
 
-/// Returns true if the old home can't have dispatched the request, because its
-/// deadline is after the fence, and the deadline has not passed, so that this
-/// balancer still has any record of it.
+/// Returns true if this process may run a request of a stopped home. Its
+/// deadline must be after the fence, so that the old home can't have dispatched
+/// it, and must not have passed, because rows of earlier copies expire then.
 bool Balancer::Impl::mayAdopt(const Message &M, const Route &R) const {
   const Succession *S = findSuccession(R);
   return S &&
--- a/src/balancer.cc
+++ b/src/balancer.cc
@@ -192,8 +192,8 @@
     checkStopped();
 }
 
-/// Removes peers without recent heartbeats and marks them as suspect homes
-/// until `SuspicionTimeout` or their next heartbeat.
+/// Removes peers without recent heartbeats and marks them as suspect homes, for
+/// `SuspicionTimeout` or until their next heartbeat.
 void Balancer::Impl::expirePeers() {
   auto Expired = [this](const SuspectHome &S) { return S.Until_ < Now_.Mono_; };
   SuspectHomes_.erase(
--- a/src/control-plane.cc
+++ b/src/control-plane.cc
@@ -15,7 +15,9 @@
 using SteadyTime = std::chrono::steady_clock::time_point;
 
 constexpr auto HeartbeatInterval = 1s;
-/// Leaves a watcher's age several heartbeats to reach its whole data hall.
+/// A watcher without an answer from the platform for this long is stale. Long
+/// enough for its answers to become known in its data hall, which takes several
+/// heartbeats.
 constexpr auto WatcherStaleAfter = 20s;
 constexpr std::size_t MaxSuccessions = 256;
 
--- a/src/ctl-main.cc
+++ b/src/ctl-main.cc
@@ -41,7 +41,8 @@
   });
 }
 
-/// Checks settings, host lists and declarations, told apart by their keys.
+/// Checks settings, host lists and declarations; the keys show which one a file
+/// contains.
 int check(const std::vector<std::string> &Files, WallTime From) {
   if (Files.empty())
     throw UsageError("check needs at least one FILE");
@@ -260,7 +261,7 @@
   if (Arguments.count("words") != 0)
     Operands = Arguments["words"].as<std::vector<std::string>>();
   if (Operands.empty())
-    throw UsageError("a command is needed; see --help");
+    throw UsageError("a command is required; see --help");
   std::string Command = Operands.front();
   Operands.erase(Operands.begin());
   WallTime When = Arguments.count("at") != 0
--- a/src/load-main.cc
+++ b/src/load-main.cc
@@ -46,13 +46,13 @@
   Options.positional_help("[UPSTREAM-RECORD...]");
   auto Arguments = parseArguments(Options, Count, Values);
   if (Arguments.count("record") == 0)
-    throw std::runtime_error("--record FILE is needed");
+    throw std::runtime_error("--record FILE is required");
   std::string Record = Arguments["record"].as<std::string>();
   if (Arguments.count("audit") != 0)
     return runAudit(Record, Arguments["files"].as<std::vector<std::string>>(),
                     Arguments["config-seconds"].as<double>());
   if (Arguments.count("config") == 0)
-    throw std::runtime_error("--config FILE is needed");
+    throw std::runtime_error("--config FILE is required");
   Scenario S = loadConfig(Arguments["config"].as<std::string>(), parseScenario);
   asio::io_context Context(1);
   LoadRun Run(Context, S);
--- a/test/balancer-test.cc
+++ b/test/balancer-test.cc
@@ -26,7 +26,7 @@
 TEST_CASE("opens are dropped before the first declaration") {
   BalancerHarness B(42, nullptr);
   B.open();
-  CHECK(!B.LastToCaller_); // no service, so no socket it could have come from
+  CHECK(!B.LastToCaller_); // no service is known, so no socket is open
   CHECK(B.errorCount(ErrorKind::UnknownService) == 1U);
 }
 
@@ -104,12 +104,13 @@
   CHECK(!notRun(B));
 }
 
-TEST_CASE("reusing a number as repeatable keeps the in-flight count correct") {
+TEST_CASE(
+    "in-flight count returns to 0 after a number is reused as repeatable") {
   BalancerHarness B(42, makeDeclaration(1, 1, R"("in_flight_per_slot": 2,)"));
   B.openFlow();
   B.fromCaller(B.request(1));
   B.reply(MessageKind::Answer);
-  B.fromCaller(B.request(1, true)); // while duplicates are dropped
+  B.fromCaller(B.request(1, true)); // the row of the first one is still kept
   B.reply(MessageKind::Answer);
   CHECK(B.Core_.status().Upstreams_[0].InFlight_ == 0U);
 }
--- a/test/fleet.cc
+++ b/test/fleet.cc
@@ -136,7 +136,8 @@
   return Partitions_.count({From, To}) != 0;
 }
 
-/// Delivers to the process at the balancer's address on arrival.
+/// Delivers to the process that has the balancer's address on arrival. A
+/// suspended process gets the delivery when it resumes.
 void Fleet::sendToNode(std::size_t I, const Task &Deliver) {
   schedule(arrivalTime(), [this, I, Deliver] {
     Node &N = Nodes_[I];
@@ -196,7 +197,7 @@
       if (J != I && Nodes_[J].Core_ && !isPartitioned(I, J))
         sendToNode(J, [this, J, S] { handleEvent(J, SuccessionReceived{S}); });
   } else if (std::get_if<Stopped>(&A)) {
-    // The core is still on the stack, so it is destroyed in a task.
+    // The core is still handling an event, so a later task destroys it.
     Incarnation Expected = N.Incarnation_;
     schedule(Now_, [this, I, Expected] {
       if (Nodes_[I].Incarnation_ == Expected)
@@ -207,7 +208,8 @@
   }
 }
 
-/// Answers a reread by the platform or, if it is down, by every peer.
+/// Sends a resumed balancer the declaration from the platform or, if that is
+/// down, from every peer that it can reach.
 void Fleet::refresh(std::size_t I, std::uint64_t RefreshId) {
   if (Now_ >= PlatformDownUntil_) {
     DeclarationPtr Latest = Published_.back();
--- a/test/fleet.h
+++ b/test/fleet.h
@@ -24,7 +24,7 @@
   RestartBalancer,
   StopBalancer, ///< Planned.
   JoinBalancer,
-  FreezeBalancer,
+  FreezeBalancer, ///< Suspends the process.
   PartitionOneWay,
   PartitionBothWays,
   ClockStep,
--- a/test/promises-test.cc
+++ b/test/promises-test.cc
@@ -68,7 +68,7 @@
 } // namespace
 
 TEST_CASE("delivery guarantees hold under random faults") {
-  CHECK(rc::check("any faults, upstreams without memory", [] {
+  CHECK(rc::check("any faults, upstreams that do not deduplicate", [] {
     FleetOptions O = lossyNetwork();
     assertInvariants(
         runFleet(O, generateFaults(allFaultKinds(), 12, seconds(9))));
@@ -76,7 +76,7 @@
 }
 
 TEST_CASE("delivery guarantees hold with deduplicating upstreams") {
-  CHECK(rc::check("any faults, upstreams with memory", [] {
+  CHECK(rc::check("any faults, upstreams that deduplicate", [] {
     FleetOptions O = lossyNetwork();
     O.UpstreamsRemember_ = true;
     assertInvariants(
@@ -111,7 +111,8 @@
   }));
 }
 
-TEST_CASE("planned stop loses no request and adopts at-most-once requests") {
+TEST_CASE(
+    "planned stop loses no request; successors adopt at-most-once requests") {
   CHECK(rc::check("one balancer stops", [] {
     FleetOptions O;
     O.Seed_ = *rc::gen::arbitrary<std::uint64_t>();
@@ -132,7 +133,7 @@
 }
 
 TEST_CASE("crash of one balancer breaks no flow") {
-  CHECK(rc::check("one balancer dies", [] {
+  CHECK(rc::check("one balancer is killed", [] {
     FleetOptions O;
     O.Seed_ = *rc::gen::arbitrary<std::uint64_t>();
     Fault Kill{FaultKind::KillBalancer,
@@ -147,7 +148,7 @@
 }
 
 TEST_CASE("drained upstream gets no opens although a balancer is suspended") {
-  CHECK(rc::check("drain while a balancer is frozen", [] {
+  CHECK(rc::check("drain while a balancer is suspended", [] {
     FleetOptions O;
     O.Seed_ = *rc::gen::arbitrary<std::uint64_t>();
     O.Flows_ = 200; // opens continue during the drain
@@ -179,7 +180,7 @@
   }));
 }
 
-TEST_CASE("simulated fleets handled enough events") {
+TEST_CASE("simulated fleets handled more than 200,000 events") {
   std::cout << "core events under faults: " << TotalEvents << "\n";
   CHECK(TotalEvents > 200'000U);
 }
