--- a/test/fleet.cc
+++ b/test/fleet.cc
@@ -110,8 +110,9 @@
   Node &N = Nodes_[I];
   if (N.Incarnation_ != Expected || !N.Core_)
     return;
-  if (Now_ < N.FrozenUntil_)
-    return schedule(N.FrozenUntil_, [this, I, Expected] { tick(I, Expected); });
+  if (Now_ < N.SuspendedUntil_)
+    return schedule(N.SuspendedUntil_,
+                    [this, I, Expected] { tick(I, Expected); });
   std::vector<Task> Pending;
   Pending.swap(N.Inbox_);
   for (const Task &Deliver : Pending)
@@ -143,7 +144,7 @@
     Node &N = Nodes_[I];
     if (!N.Core_)
       return;
-    if (Now_ < N.FrozenUntil_)
+    if (Now_ < N.SuspendedUntil_)
       N.Inbox_.push_back(Deliver);
     else
       Deliver();
@@ -234,7 +235,7 @@
 void Fleet::heartbeat() {
   for (std::size_t I = 0; I < Nodes_.size(); ++I) {
     Node &From = Nodes_[I];
-    if (!From.Core_ || Now_ < From.FrozenUntil_)
+    if (!From.Core_ || Now_ < From.SuspendedUntil_)
       continue;
     HeartbeatReceived Heartbeat{static_cast<BalancerId>(I + 1), From.Data_,
                                 From.Incarnation_, From.Leaving_};
@@ -312,12 +313,12 @@
       startNode(I);
     return;
   case FaultKind::StopBalancer:
-    if (!N.Core_ || Now_ < N.FrozenUntil_)
+    if (!N.Core_ || Now_ < N.SuspendedUntil_)
       return;
     N.Leaving_ = true;
     return handleEvent(I, StopRequested{});
-  case FaultKind::FreezeBalancer:
-    N.FrozenUntil_ = Now_ + milliseconds(500 + F.Parameter_ % 3000);
+  case FaultKind::SuspendBalancer:
+    N.SuspendedUntil_ = Now_ + milliseconds(500 + F.Parameter_ % 3000);
     return;
   case FaultKind::PartitionOneWay:
   case FaultKind::PartitionBothWays:
--- a/test/fleet.h
+++ b/test/fleet.h
@@ -24,7 +24,7 @@
   RestartBalancer,
   StopBalancer, ///< Planned.
   JoinBalancer,
-  FreezeBalancer, ///< Suspends the process.
+  SuspendBalancer,
   PartitionOneWay,
   PartitionBothWays,
   ClockStep,
@@ -106,10 +106,10 @@
     Endpoint Data_;
     Incarnation Incarnation_{};
     Micros ClockOffset_{};
-    Time FrozenUntil_{};
+    Time SuspendedUntil_{};
     bool Leaving_ = false;
     DeclarationPtr AppliedDeclaration_;
-    std::vector<Task> Inbox_; ///< While frozen.
+    std::vector<Task> Inbox_; ///< Deliveries while suspended.
   };
   struct FakeUpstream {
     Endpoint At_;
--- a/test/promises-test.cc
+++ b/test/promises-test.cc
@@ -153,7 +153,7 @@
     O.Seed_ = *rc::gen::arbitrary<std::uint64_t>();
     O.Flows_ = 200; // opens continue during the drain
     std::vector<Fault> Faults = {
-        {FaultKind::FreezeBalancer, milliseconds(600),
+        {FaultKind::SuspendBalancer, milliseconds(600),
          *rc::gen::inRange(2600U, 2900U)},
         {FaultKind::Drain, milliseconds(700), *rc::gen::inRange(0U, 6U)}};
     for (unsigned I = 0; I < 4; ++I) // restarts cause new opens
