--- a/test/fleet.cc
+++ b/test/fleet.cc
@@ -110,8 +110,9 @@
   Node &N = Nodes_[I];
   if (N.Incarnation_ != Expected || !N.Core_)
     return;
-  if (Now_ < N.FrozenUntil_)
-    return schedule(N.FrozenUntil_, [this, I, Expected] { tick(I, Expected); });
+  if (Now_ < N.SuspendedUntil_)
+    return schedule(N.SuspendedUntil_,
+                    [this, I, Expected] { tick(I, Expected); });
   std::vector<Task> Pending;
   Pending.swap(N.Inbox_);
   for (const Task &Deliver : Pending)
@@ -136,13 +137,14 @@
   return Partitions_.count({From, To}) != 0;
 }
 
-/// Delivers to the process at the balancer's address on arrival.
+/// Delivers to the process that has the balancer's address on arrival. A
+/// suspended process gets the delivery when it resumes.
 void Fleet::sendToNode(std::size_t I, const Task &Deliver) {
   schedule(arrivalTime(), [this, I, Deliver] {
     Node &N = Nodes_[I];
     if (!N.Core_)
       return;
-    if (Now_ < N.FrozenUntil_)
+    if (Now_ < N.SuspendedUntil_)
       N.Inbox_.push_back(Deliver);
     else
       Deliver();
@@ -196,7 +198,7 @@
       if (J != I && Nodes_[J].Core_ && !isPartitioned(I, J))
         sendToNode(J, [this, J, S] { handleEvent(J, SuccessionReceived{S}); });
   } else if (std::get_if<Stopped>(&A)) {
-    // The core is still on the stack, so it is destroyed in a task.
+    // The core is still handling an event, so a later task destroys it.
     Incarnation Expected = N.Incarnation_;
     schedule(Now_, [this, I, Expected] {
       if (Nodes_[I].Incarnation_ == Expected)
@@ -207,7 +209,8 @@
   }
 }
 
-/// Answers a reread by the platform or, if it is down, by every peer.
+/// Sends a resumed balancer the declaration from the platform or, if that is
+/// down, from every peer that it can reach.
 void Fleet::refresh(std::size_t I, std::uint64_t RefreshId) {
   if (Now_ >= PlatformDownUntil_) {
     DeclarationPtr Latest = Published_.back();
@@ -232,7 +235,7 @@
 void Fleet::heartbeat() {
   for (std::size_t I = 0; I < Nodes_.size(); ++I) {
     Node &From = Nodes_[I];
-    if (!From.Core_ || Now_ < From.FrozenUntil_)
+    if (!From.Core_ || Now_ < From.SuspendedUntil_)
       continue;
     HeartbeatReceived Heartbeat{static_cast<BalancerId>(I + 1), From.Data_,
                                 From.Incarnation_, From.Leaving_};
@@ -310,12 +313,12 @@
       startNode(I);
     return;
   case FaultKind::StopBalancer:
-    if (!N.Core_ || Now_ < N.FrozenUntil_)
+    if (!N.Core_ || Now_ < N.SuspendedUntil_)
       return;
     N.Leaving_ = true;
     return handleEvent(I, StopRequested{});
-  case FaultKind::FreezeBalancer:
-    N.FrozenUntil_ = Now_ + milliseconds(500 + F.Parameter_ % 3000);
+  case FaultKind::SuspendBalancer:
+    N.SuspendedUntil_ = Now_ + milliseconds(500 + F.Parameter_ % 3000);
     return;
   case FaultKind::PartitionOneWay:
   case FaultKind::PartitionBothWays:
