--- a/bench/cold-ways.cc
+++ b/bench/cold-ways.cc
@@ -1,7 +1,8 @@
-// Compares algorithms that limit the flows to cold upstreams over a fleet, in a
-// simulation. For each, prints the highest flow count in a sliding second
-// relative to the limit, the capacity used and the share of rejected flows, as
-// the worst case over seeds, membership views and loads.
+// Simulates a fleet to compare algorithms that limit flows to cold upstreams.
+// For each algorithm, prints the highest flow count in a sliding second
+// relative to the limit, the capacity used and the share of rejected flows.
+// Each is the worst case over seeds, membership views and loads; the capacity
+// used counts only runs with equal views.
 // Usage: cold-ways [SECONDS]
 #include "cold-fleet.h"
 
@@ -32,13 +33,14 @@
   double MinUsed = 1e9;
   std::string WorstAt;
   for (const Load &L : Loads)
-    for (int Belief = 0; Belief <= static_cast<int>(MembershipModel::Restarted);
-         ++Belief) {
+    for (int Membership = 0;
+         Membership <= static_cast<int>(MembershipModel::Restarted);
+         ++Membership) {
       ColdScenario S{Balancers,
                      L.Warm_,
                      L.Cold_,
                      {PerSecond, 1.5, 5},
-                     static_cast<MembershipModel>(Belief)};
+                     static_cast<MembershipModel>(Membership)};
       for (std::uint64_t Seed = 1; Seed <= Seeds; ++Seed) {
         ColdOutcome O = simulate(S, Policy, Seconds, Seed);
         if (O.PeakRatio_ > Worst.PeakRatio_)
--- a/src/packet-balancer.cc
+++ b/src/packet-balancer.cc
@@ -12,7 +12,7 @@
 
 namespace {
 
-/// Hash salt with which retransmitted openings draw other candidates.
+/// Hash salt that lets retransmitted openings draw other candidates.
 constexpr std::uint64_t RetransmitDraw = 0x636f7079;
 /// Attempt number of a retry; callers never retransmit that often.
 constexpr std::uint32_t RetryDraw = 0x80;
@@ -81,9 +81,8 @@
          !detail::isEnabled(detail::Mechanism::StalenessLimit);
 }
 
-/// Returns the error for an opening without a candidate. Evacuations and limits
-/// of cold upstreams reset the caller at once; `NoneLeft` holds the packet,
-/// since an upstream may be published soon.
+/// Returns the error for an opening without a candidate. `NoneLeft` holds the
+/// packet: an upstream may be published soon. The others reset the caller.
 ErrorKind PacketBalancer::Impl::noCandidateError(ServiceId Service) const {
   auto It = Services_.find(raw(Service));
   if (It == Services_.end() || !isFresh())
@@ -223,9 +222,8 @@
   return UpstreamTable::None;
 }
 
-/// Forwards by cookie alone, whichever service the address belongs to now: a
-/// balancer that has just started does not know the routing table under which a
-/// flow was opened. Upstreams refuse flows that they do not hold.
+/// Forwards by cookie, not address: a new balancer does not know the routing
+/// table of the flow's opening. Upstreams refuse flows that they do not hold.
 Verdict PacketBalancer::Impl::routeByCookie(const Packet &P, FlowId Flow) {
   auto It = IndexOfCookie_.find(P.Cookie_);
   if (It == IndexOfCookie_.end())
@@ -249,8 +247,7 @@
     endReplacedUpstreams(At);
 }
 
-/// Three times the average opening delay, so that openings of distant callers
-/// are not retried needlessly.
+/// Three times the average opening delay: distant callers may need that long.
 Micros PacketBalancer::Impl::openingTimeout() const {
   constexpr int Times = 3;
   return std::min(OpeningDelay_.multiple(Times, UnansweredOpenings::MinTimeout),
